--- a/benches/support/cold_world.rs
+++ b/benches/support/cold_world.rs
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use stallhoist_core::HostId;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::cold::ColdBound;
 use stallhoist_policy::cold::ColdService;
 use stallhoist_policy::cold::ColdUpstreams;
@@ -105,7 +105,7 @@
     way: Way,
     rng: StdRng,
     entries: Vec<Entry>,
-    starts: Vec<StartId>,
+    starts: Vec<UpstreamIncarnation>,
     /// What came to each cold upstream: when it was sent and when it arrived.
     came: Vec<Vec<(f64, f64)>>,
     /// For the oracle: what was sent to each in the last second.
--- a/benches/support/limits_world.rs
+++ b/benches/support/limits_world.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use stallhoist_core::RequestRate;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::fleet_bound::Fleet;
 use stallhoist_policy::named_limits::NamedLimit;
 use stallhoist_policy::named_limits::NamedLimits;
@@ -95,7 +95,7 @@
     way: Way,
     rng: StdRng,
     entries: Vec<Entry>,
-    starts: Vec<StartId>,
+    starts: Vec<UpstreamIncarnation>,
     /// When requests arrived at each limited upstream.
     came: Vec<Vec<f64>>,
     /// For the oracle: what was sent to each in the last window.
--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -6,7 +6,7 @@
 use stallhoist_core::ModelName;
 use stallhoist_core::MonoTime;
 use stallhoist_core::PromptPart;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_measure::FakeRequest;
 use stallhoist_policy::balance::BalanceConfig;
 use stallhoist_policy::balance::CandidateFacts;
@@ -26,7 +26,7 @@
 pub(crate) struct OwnKnowledge {
     config: BalanceConfig,
     model: ModelName,
-    instances: Vec<StartId>,
+    instances: Vec<UpstreamIncarnation>,
     load: UpstreamLoad,
     prefixes: PrefixCaches,
     /// Breaks ties, as the gateway does by a hash of the request.
--- a/benches/support/seeded_runs.rs
+++ b/benches/support/seeded_runs.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use stallhoist_core::HostId;
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 
 const THREADS: u64 = 4;
 
@@ -37,7 +37,7 @@
 }
 
 /// The upstreams of a run.
-pub(crate) fn starts(seed: u64, count: usize) -> Vec<StartId> {
+pub(crate) fn starts(seed: u64, count: usize) -> Vec<UpstreamIncarnation> {
     (0..count).map(|n| format!("i-{seed}-{n}").parse().expect("a start")).collect()
 }
 
--- a/crates/core/src/start_id.rs
+++ b/crates/core/src/upstream_incarnation.rs
@@ -15,7 +15,7 @@
 
 /// Why a text names no start.
 #[derive(Debug, Clone, PartialEq, Eq, Display, thiserror::Error)]
-pub enum StartIdError {
+pub enum UpstreamIncarnationError {
     /// the id of a start: {0}
     Instance(NameError),
     /// the time of a start: {0}
@@ -28,14 +28,14 @@
 /// before, so everything that is believed of an upstream is kept by its start: what was
 /// believed of an earlier one is simply not found for a later one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct StartId {
+pub struct UpstreamIncarnation {
     /// The id that it has in the list of upstreams.
     pub instance: InstanceId,
     /// When it started, by its own clock, if it says so.
     pub started: Option<StartTime>,
 }
 
-impl StartId {
+impl UpstreamIncarnation {
     /// Whether this start is known to be later than another of the same upstream.
     pub fn is_later_than(&self, other: &Self) -> bool {
         self.instance == other.instance
@@ -43,14 +43,14 @@
     }
 }
 
-impl From<InstanceId> for StartId {
+impl From<InstanceId> for UpstreamIncarnation {
     /// A start whose time is not known.
     fn from(instance: InstanceId) -> Self {
         Self { instance, started: None }
     }
 }
 
-impl fmt::Display for StartId {
+impl fmt::Display for UpstreamIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.started {
             Some(started) => write!(f, "{}{SEPARATOR}{started}", self.instance),
@@ -59,16 +59,17 @@
     }
 }
 
-impl FromStr for StartId {
-    type Err = StartIdError;
+impl FromStr for UpstreamIncarnation {
+    type Err = UpstreamIncarnationError;
 
-    fn from_str(text: &str) -> Result<Self, StartIdError> {
+    fn from_str(text: &str) -> Result<Self, UpstreamIncarnationError> {
         let (instance, started) = match text.split_once(SEPARATOR) {
             Some((instance, started)) => (instance, Some(started)),
             None => (text, None),
         };
-        let instance = instance.parse().map_err(StartIdError::Instance)?;
-        let started = started.map(str::parse).transpose().map_err(StartIdError::Started)?;
+        let instance = instance.parse().map_err(UpstreamIncarnationError::Instance)?;
+        let started =
+            started.map(str::parse).transpose().map_err(UpstreamIncarnationError::Started)?;
         Ok(Self { instance, started })
     }
 }
--- a/crates/gateway/src/fatal/book.rs
+++ b/crates/gateway/src/fatal/book.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use stallhoist_core::MonoTime;
 use stallhoist_core::RequestFingerprint;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::balance::UpstreamKey;
 use stallhoist_policy::fatal::EndNews;
 use stallhoist_policy::fatal::FatalChange;
@@ -82,14 +82,19 @@
     }
 
     /// An upstream has ended while it ran a request.
-    pub(crate) fn ended(&self, now: MonoTime, request: RequestFingerprint, start: &StartId) {
+    pub(crate) fn ended(
+        &self,
+        now: MonoTime,
+        request: RequestFingerprint,
+        start: &UpstreamIncarnation,
+    ) {
         if self.change(|requests| requests.ended(now, request, UpstreamKey::of(start))) {
             self.note_new(now, request, start);
         }
     }
 
     /// An end under a request was not known before.
-    fn note_new(&self, now: MonoTime, request: RequestFingerprint, start: &StartId) {
+    fn note_new(&self, now: MonoTime, request: RequestFingerprint, start: &UpstreamIncarnation) {
         self.has_news.notify_one();
         if matches!(self.verdict(now, request), Verdict::HeldBack { .. }) {
             log::warn!(fingerprint:% = request, instance:% = start; "request held back: it ends upstreams");
@@ -97,12 +102,17 @@
     }
 
     /// The answer of a request broke off, and it does not show yet whether its upstream has ended.
-    pub(crate) fn broke(&self, now: MonoTime, request: RequestFingerprint, start: &StartId) {
+    pub(crate) fn broke(
+        &self,
+        now: MonoTime,
+        request: RequestFingerprint,
+        start: &UpstreamIncarnation,
+    ) {
         self.change(|requests| requests.broke(now, request, UpstreamKey::of(start)));
     }
 
     /// It shows that a start of an upstream has ended, which had not said that it leaves.
-    pub(crate) fn upstream_ended(&self, now: MonoTime, start: &StartId) {
+    pub(crate) fn upstream_ended(&self, now: MonoTime, start: &UpstreamIncarnation) {
         if !self.has_open_breaks() {
             return;
         }
--- a/crates/gateway/src/members/directory.rs
+++ b/crates/gateway/src/members/directory.rs
@@ -19,7 +19,7 @@
 use stallhoist_core::InstanceId;
 use stallhoist_core::MonoTime;
 use stallhoist_core::ServiceName;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 
 use super::Member;
 use super::MemberState;
@@ -71,7 +71,7 @@
     leaving: BTreeSet<InstanceId>,
     doubted: BTreeMap<InstanceId, Doubted>,
     /// Since when a start has said in its answers that it leaves, and when it did so last.
-    said_leaving: HashMap<StartId, Said>,
+    said_leaving: HashMap<UpstreamIncarnation, Said>,
     history: StartHistory,
 }
 
@@ -148,7 +148,7 @@
     }
 
     /// A start of an upstream has said in an answer that it leaves. No row takes that back.
-    pub fn says_that_it_leaves(&mut self, now: MonoTime, start: &StartId) {
+    pub fn says_that_it_leaves(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
         let said = self.said_leaving.entry(start.clone());
         said.or_insert(Said { since: now, last: now }).last = now;
         if self.is_known(start) {
@@ -241,17 +241,17 @@
     }
 
     /// Whether a start of an upstream is known.
-    pub fn is_known(&self, start: &StartId) -> bool {
+    pub fn is_known(&self, start: &UpstreamIncarnation) -> bool {
         self.member(start).is_some()
     }
 
     /// Whether a start of an upstream has said that it leaves, in its row or in an answer.
-    pub fn has_announced(&self, start: &StartId) -> bool {
+    pub fn has_announced(&self, start: &UpstreamIncarnation) -> bool {
         self.said_leaving.contains_key(start) || self.history.has_announced(start)
     }
 
     /// What is known of a start of an upstream.
-    pub fn member(&self, start: &StartId) -> Option<&Member> {
+    pub fn member(&self, start: &UpstreamIncarnation) -> Option<&Member> {
         let known = self.known.get(&start.instance).map(|known| &known.member);
         known.filter(|member| member.start == *start)
     }
--- a/crates/gateway/src/members/member.rs
+++ b/crates/gateway/src/members/member.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use stallhoist_core::ServiceName;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::VersionName;
 use stallhoist_core::ZoneName;
 use stallhoist_policy::cold::ToldCold;
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
     /// This start of it.
-    pub start: StartId,
+    pub start: UpstreamIncarnation,
     /// The service it belongs to.
     pub service: ServiceName,
     /// Where it is called.
--- a/crates/gateway/src/members/start_history.rs
+++ b/crates/gateway/src/members/start_history.rs
@@ -8,7 +8,7 @@
 
 use stallhoist_core::InstanceId;
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 
 use super::Member;
 use super::MemberState;
@@ -20,7 +20,7 @@
 /// A start of an upstream, and how it came to be known.
 #[derive(Debug, Clone)]
 struct Seen {
-    start: StartId,
+    start: UpstreamIncarnation,
     addr: SocketAddr,
     /// The batch of news in which it was listed first at its address.
     batch: u64,
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Superseded {
     /// The start.
-    pub start: StartId,
+    pub start: UpstreamIncarnation,
     /// Whether it had said that it leaves.
     pub is_planned: bool,
 }
@@ -77,13 +77,13 @@
     }
 
     /// Whether the row of a start has said that it leaves.
-    pub(super) fn has_announced(&self, start: &StartId) -> bool {
+    pub(super) fn has_announced(&self, start: &UpstreamIncarnation) -> bool {
         let seen = self.latest.get(&start.instance).filter(|seen| seen.start == *start);
         seen.is_some_and(|seen| seen.has_announced)
     }
 
     /// The latest start of an upstream that was listed.
-    pub(super) fn latest(&self, instance: &InstanceId) -> Option<&StartId> {
+    pub(super) fn latest(&self, instance: &InstanceId) -> Option<&UpstreamIncarnation> {
         self.latest.get(instance).map(|seen| &seen.start)
     }
 
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -8,7 +8,7 @@
 use http::response;
 use stallhoist_core::ModelName;
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::VersionName;
 use stallhoist_policy::balance::Evidence;
 use stallhoist_policy::rollout::Observation;
@@ -46,7 +46,7 @@
     pub(crate) reply_head: ReplyHead,
     pub(crate) first: Option<EventFrames>,
     pub(crate) events: EventBuffer,
-    pub(crate) start: StartId,
+    pub(crate) start: UpstreamIncarnation,
     pub(crate) addr: SocketAddr,
     pub(crate) version: VersionName,
     /// Ends the work in the books when the stream is dropped.
--- a/crates/gateway/src/request/broken.rs
+++ b/crates/gateway/src/request/broken.rs
@@ -7,7 +7,7 @@
 
 use displaydoc::Display;
 use http_body_util::LengthLimitError;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use tokio::net::TcpStream;
 
 use crate::state::GatewayState;
@@ -64,7 +64,7 @@
     pub(crate) async fn is_end_of(
         &self,
         state: &GatewayState,
-        start: &StartId,
+        start: &UpstreamIncarnation,
         addr: SocketAddr,
     ) -> bool {
         if !self.may_be_an_end() {
--- a/crates/gateway/src/request/execution/break_off.rs
+++ b/crates/gateway/src/request/execution/break_off.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::balance::Evidence;
 
 use super::Execution;
@@ -22,7 +22,7 @@
     /// the fingerprint tells that several upstreams have ended under the same request.
     pub(crate) async fn after_break(
         &self,
-        start: &StartId,
+        start: &UpstreamIncarnation,
         addr: SocketAddr,
         cause: &Break,
     ) -> bool {
@@ -49,7 +49,7 @@
         self.progress.upstream_ended();
     }
 
-    fn log_break(&self, start: &StartId, has_ended: bool) {
+    fn log_break(&self, start: &UpstreamIncarnation, has_ended: bool) {
         if !self.state.decisions.admits(self.state.now()) {
             return;
         }
--- a/crates/gateway/src/request/execution/choice.rs
+++ b/crates/gateway/src/request/execution/choice.rs
@@ -4,7 +4,7 @@
 
 use stallhoist_core::ModelName;
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::Execution;
@@ -67,7 +67,7 @@
     pub(super) fn choose_for(
         &self,
         model: Option<&ModelName>,
-        tried: &[StartId],
+        tried: &[UpstreamIncarnation],
     ) -> Option<Chosen> {
         let rule = self.version_rule();
         self.state.upstreams.choose(self.state.now(), &self.placement(&rule, model, tried))
@@ -110,7 +110,7 @@
         &'a self,
         rule: &'a VersionRule,
         model: Option<&'a ModelName>,
-        tried: &'a [StartId],
+        tried: &'a [UpstreamIncarnation],
     ) -> Placement<'a> {
         let service = self.call.service.as_ref();
         Placement {
--- a/crates/gateway/src/request/execution/mod.rs
+++ b/crates/gateway/src/request/execution/mod.rs
@@ -10,7 +10,7 @@
 
 use http::StatusCode;
 use stallhoist_core::ModelName;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::VersionName;
 use stallhoist_policy::cascade::BetterAnswer;
 use stallhoist_policy::retry::RequestProgress;
@@ -53,7 +53,7 @@
     state: Arc<GatewayState>,
     call: Call,
     models: ModelChoice,
-    tried: Vec<StartId>,
+    tried: Vec<UpstreamIncarnation>,
     progress: RequestProgress,
     /// The last failure that an upstream itself answered with.
     failure: Option<WholeReply>,
@@ -167,7 +167,11 @@
     }
 
     /// The answer that an attempt gave; none when another one is to be made.
-    fn after_attempt(&mut self, start: StartId, end: AttemptEnd) -> Result<Option<Answer>, GiveUp> {
+    fn after_attempt(
+        &mut self,
+        start: UpstreamIncarnation,
+        end: AttemptEnd,
+    ) -> Result<Option<Answer>, GiveUp> {
         match end {
             AttemptEnd::NotSent(_) => {
                 self.after_connect_failure(start)?;
@@ -211,7 +215,7 @@
     }
 
     /// No connection came up. This does not count as an attempt.
-    fn after_connect_failure(&mut self, start: StartId) -> Result<(), GiveUp> {
+    fn after_connect_failure(&mut self, start: UpstreamIncarnation) -> Result<(), GiveUp> {
         if !self.progress.connect_failed() {
             return Err(self.give_up());
         }
@@ -221,7 +225,7 @@
 
     /// The upstream that was meant was not there: another process turned the request away, which
     /// costs the caller no attempt. The platform counts its arrival all the same.
-    fn after_misdirected(&mut self, start: StartId) -> Result<(), GiveUp> {
+    fn after_misdirected(&mut self, start: UpstreamIncarnation) -> Result<(), GiveUp> {
         let has_budget = self.state.retries.lock().take(&self.call.service_name);
         if !has_budget {
             return Err(self.give_up());
@@ -230,7 +234,7 @@
     }
 
     /// An attempt failed that may have run.
-    fn after_failure(&mut self, start: StartId) -> Result<(), GiveUp> {
+    fn after_failure(&mut self, start: UpstreamIncarnation) -> Result<(), GiveUp> {
         self.progress.sent();
         self.tried.push(start);
         self.require_another()
--- a/crates/gateway/src/request/pace_watch.rs
+++ b/crates/gateway/src/request/pace_watch.rs
@@ -5,7 +5,7 @@
 
 use stallhoist_core::ModelName;
 use stallhoist_core::ServiceName;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::VersionName;
 use stallhoist_policy::rollout::Observation;
 use stallhoist_policy::rollout::Pace;
@@ -21,7 +21,7 @@
     pub(super) service: ServiceName,
     pub(super) model: Option<ModelName>,
     pub(super) version: VersionName,
-    pub(super) start: StartId,
+    pub(super) start: UpstreamIncarnation,
 }
 
 /// Watches the pauses of a stream until they show its pace, and tells that once.
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -15,8 +15,8 @@
 use parking_lot::RwLock;
 use stallhoist_coordination::ProcessClock;
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
 use stallhoist_core::StoreEra;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::cascade::StepUpConfig;
 use stallhoist_policy::retry::RetryBudget;
 use stallhoist_policy::rollout::RolloutConfig;
@@ -272,7 +272,7 @@
 
     /// It shows that a start of an upstream has ended. What broke off there lately did so by its end, unless
     /// it had said that it leaves: then it ended as planned.
-    pub(crate) fn shown_ended(&self, start: &StartId) {
+    pub(crate) fn shown_ended(&self, start: &UpstreamIncarnation) {
         if !self.upstreams.has_announced(start) {
             self.fatal.upstream_ended(self.now(), start);
         }
--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -2,7 +2,7 @@
 
 use stallhoist_core::MonoTime;
 use stallhoist_core::PromptPart;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::ZoneName;
 use stallhoist_policy::balance::BalanceConfig;
 use stallhoist_policy::balance::CandidateFacts;
@@ -164,7 +164,11 @@
     /// the way to another zone: with one in each zone, a prompt that is asked for by all of
     /// them is read three times. The mean worth of five days with faults in three zones rose from
     /// 0.607 to 0.660 (eight seeds each).
-    fn home<'m>(&self, members: &[&'m Member], request: &RequestFacts) -> Option<&'m StartId> {
+    fn home<'m>(
+        &self,
+        members: &[&'m Member],
+        request: &RequestFacts,
+    ) -> Option<&'m UpstreamIncarnation> {
         let shared = self.placement.prompt?.shared_parts();
         let part = shared.last()?;
         let saved_ms = request.reading.of_tokens_ms(likely_read_tokens(shared));
@@ -211,9 +215,9 @@
     /// None rests.
     None,
     /// The request goes to the one that does.
-    Only(&'a StartId),
+    Only(&'a UpstreamIncarnation),
     /// It goes to another.
-    Except(&'a StartId),
+    Except(&'a UpstreamIncarnation),
 }
 
 impl<'a> Control<'a> {
--- a/crates/gateway/src/upstreams/cold.rs
+++ b/crates/gateway/src/upstreams/cold.rs
@@ -7,7 +7,7 @@
 use stallhoist_core::HostId;
 use stallhoist_core::MonoTime;
 use stallhoist_core::ServiceName;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::cold::ColdService;
 use stallhoist_policy::fleet_bound::Place;
 
@@ -59,13 +59,14 @@
     /// Forgets that upstreams were cold which are not any more. One stays that is not listed yet, as
     /// its entry may not be believed for a while, or of whose service nothing is known yet.
     fn forget_warm(&mut self, now: MonoTime) {
-        let is_warm = |start: &&StartId| {
+        let is_warm = |start: &&UpstreamIncarnation| {
             self.directory.member(start).is_some_and(|member| {
                 self.cold_services.contains_key(&member.service)
                     && self.cold_place(now, member) == Place::Unbounded
             })
         };
-        let warm: HashSet<StartId> = self.cold.starts().filter(is_warm).cloned().collect();
+        let warm: HashSet<UpstreamIncarnation> =
+            self.cold.starts().filter(is_warm).cloned().collect();
         self.cold.retain(|start| !warm.contains(start));
     }
 
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -21,7 +21,7 @@
 use stallhoist_core::MonoTime;
 use stallhoist_core::Prompt;
 use stallhoist_core::ServiceName;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::ZoneName;
 use stallhoist_policy::asked_rests::AskedRests;
 use stallhoist_policy::balance::BalanceConfig;
@@ -115,7 +115,7 @@
 
     /// These starts have ended: later ones are listed in their places. Gives those that had not said
     /// that they leave.
-    fn are_over(&mut self, now: MonoTime, superseded: Vec<Superseded>) -> Vec<StartId> {
+    fn are_over(&mut self, now: MonoTime, superseded: Vec<Superseded>) -> Vec<UpstreamIncarnation> {
         for Superseded { start, is_planned } in &superseded {
             log::info!(start:% = start, is_planned; "a later start is listed in place of this one");
             self.health.observe(now, start, Evidence::AddressTaken);
@@ -132,7 +132,7 @@
         self.cold_place(now, member).and(limited).and(rested)
     }
 
-    fn work_on(&self, now: MonoTime, start: &StartId) -> KnownWork {
+    fn work_on(&self, now: MonoTime, start: &UpstreamIncarnation) -> KnownWork {
         let others = self.fleet_work.on(UpstreamKey::of(start));
         KnownWork {
             in_progress: self.load.in_progress(now, start, others.requests),
@@ -175,7 +175,7 @@
     }
 
     /// The whole list was read. Gives the starts that have ended by that without saying that they leave.
-    pub(crate) fn replace(&self, now: MonoTime, members: Vec<Member>) -> Vec<StartId> {
+    pub(crate) fn replace(&self, now: MonoTime, members: Vec<Member>) -> Vec<UpstreamIncarnation> {
         let mut known = self.known.lock();
         for member in &members {
             known.cold.read(now, &member.start, member.cold);
@@ -189,7 +189,7 @@
 
     /// One entry of the list has changed. Other changes do not concern upstreams. Gives the starts that
     /// have ended by that without saying that they leave.
-    pub(crate) fn apply(&self, now: MonoTime, change: Change) -> Vec<StartId> {
+    pub(crate) fn apply(&self, now: MonoTime, change: Change) -> Vec<UpstreamIncarnation> {
         let mut ended = Vec::new();
         let mut known = self.known.lock();
         match change {
@@ -265,7 +265,12 @@
     }
 
     /// Something has shown how a start of an upstream is. Says whether it is known to be over since.
-    pub(crate) fn observe(&self, now: MonoTime, start: &StartId, evidence: Evidence) -> bool {
+    pub(crate) fn observe(
+        &self,
+        now: MonoTime,
+        start: &UpstreamIncarnation,
+        evidence: Evidence,
+    ) -> bool {
         let mut known = self.known.lock();
         let before = known.health.fitness(now, start);
         known.health.observe(now, start, evidence);
@@ -280,12 +285,12 @@
     }
 
     /// Whether a start has said that it leaves.
-    pub(crate) fn has_announced(&self, start: &StartId) -> bool {
+    pub(crate) fn has_announced(&self, start: &UpstreamIncarnation) -> bool {
         self.known.lock().directory.has_announced(start)
     }
 
     /// Whether a start is known to be over.
-    pub(crate) fn is_over(&self, now: MonoTime, start: &StartId) -> bool {
+    pub(crate) fn is_over(&self, now: MonoTime, start: &UpstreamIncarnation) -> bool {
         self.known.lock().health.fitness(now, start) == Fitness::Over
     }
 
@@ -295,7 +300,7 @@
     }
 
     /// Requests in progress at an upstream, as far as it is known.
-    pub(crate) fn in_progress(&self, now: MonoTime, start: &StartId) -> u32 {
+    pub(crate) fn in_progress(&self, now: MonoTime, start: &UpstreamIncarnation) -> u32 {
         self.known.lock().work_on(now, start).in_progress
     }
 
@@ -316,7 +321,7 @@
     pub(crate) fn prompt_read(
         &self,
         now: MonoTime,
-        start: &StartId,
+        start: &UpstreamIncarnation,
         model: &ModelName,
         prompt: &Prompt,
     ) {
--- a/crates/gateway/src/upstreams/news.rs
+++ b/crates/gateway/src/upstreams/news.rs
@@ -4,7 +4,7 @@
 
 use stallhoist_core::HostId;
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::balance::Fitness;
 use stallhoist_policy::balance::TellableStanding;
 use stallhoist_policy::balance::UpstreamKey;
@@ -29,7 +29,7 @@
         &self,
         now: MonoTime,
         told: &HashMap<UpstreamKey, TellableStanding>,
-    ) -> Vec<StartId> {
+    ) -> Vec<UpstreamIncarnation> {
         let mut found_over = Vec::new();
         if told.is_empty() {
             return found_over;
--- a/crates/gateway/src/upstreams/notices.rs
+++ b/crates/gateway/src/upstreams/notices.rs
@@ -1,7 +1,7 @@
 //! What upstreams say of themselves in answers.
 
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::cold::ToldCold;
 
 use super::Upstreams;
@@ -13,7 +13,7 @@
     pub(crate) fn heard(
         &self,
         now: MonoTime,
-        start: &StartId,
+        start: &UpstreamIncarnation,
         sent: MonoTime,
         notice: &Notice,
     ) -> bool {
--- a/crates/gateway/src/upstreams/placement.rs
+++ b/crates/gateway/src/upstreams/placement.rs
@@ -7,7 +7,7 @@
 use stallhoist_core::MonoTime;
 use stallhoist_core::Prompt;
 use stallhoist_core::ServiceName;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::VersionName;
 use stallhoist_policy::balance::WorkItem;
 
@@ -32,7 +32,7 @@
     /// Where the request may go, by its route and by its workspace: both bind.
     pub(crate) homes: [Option<&'a Homes>; 2],
     /// Upstreams that this request was sent to before.
-    pub(crate) tried: &'a [StartId],
+    pub(crate) tried: &'a [UpstreamIncarnation],
     /// The most connections that this entry keeps to one upstream.
     pub(crate) max_connections: u32,
 }
@@ -53,7 +53,7 @@
 /// The upstream that was chosen.
 #[derive(Debug, Clone)]
 pub(crate) struct Chosen {
-    pub(crate) start: StartId,
+    pub(crate) start: UpstreamIncarnation,
     pub(crate) addr: SocketAddr,
     pub(crate) version: VersionName,
     pub(crate) work: WorkItem,
--- a/crates/gateway/src/upstreams/work.rs
+++ b/crates/gateway/src/upstreams/work.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::balance::WorkItem;
 
 use super::Upstreams;
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(crate) struct WorkGuard {
     pub(super) upstreams: Arc<Upstreams>,
-    pub(super) start: StartId,
+    pub(super) start: UpstreamIncarnation,
     pub(super) unread: WorkItem,
 }
 
--- a/crates/policy/src/asked_rests.rs
+++ b/crates/policy/src/asked_rests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 
 use crate::fleet_bound::Place;
 
@@ -20,20 +20,20 @@
 #[derive(Debug, Default)]
 pub struct AskedRests {
     /// Until when, few mostly: each choice looks for each upstream here.
-    by_start: HashMap<StartId, MonoTime>,
+    by_start: HashMap<UpstreamIncarnation, MonoTime>,
 }
 
 impl AskedRests {
     /// An upstream asks for so much rest. A longer one that it has asked for before still holds, and no
     /// answer ends it: other requests may have been taken before it was asked for.
-    pub fn asked(&mut self, now: MonoTime, start: &StartId, rest: Duration) {
+    pub fn asked(&mut self, now: MonoTime, start: &UpstreamIncarnation, rest: Duration) {
         let until = now.after(rest.min(LONGEST));
         let known = self.by_start.entry(start.clone()).or_insert(until);
         *known = until.max(*known);
     }
 
     /// Whether a request may be sent to an upstream now.
-    pub fn place(&self, now: MonoTime, start: &StartId) -> Place {
+    pub fn place(&self, now: MonoTime, start: &UpstreamIncarnation) -> Place {
         if self.by_start.is_empty() {
             return Place::Unbounded;
         }
--- a/crates/policy/src/balance/fleet_work.rs
+++ b/crates/policy/src/balance/fleet_work.rs
@@ -9,7 +9,7 @@
 
 use stallhoist_core::HostId;
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// What an entry told is believed for so long: it tells it several times in that time.
@@ -27,7 +27,7 @@
 
 impl UpstreamKey {
     /// The key of a start of an upstream.
-    pub fn of(start: &StartId) -> Self {
+    pub fn of(start: &UpstreamIncarnation) -> Self {
         let seed = start.started.map_or(0, |started| started.0);
         Self(xxh3_64_with_seed(start.instance.as_str().as_bytes(), seed))
     }
--- a/crates/policy/src/balance/health/mod.rs
+++ b/crates/policy/src/balance/health/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 
 pub use evidence::Evidence;
 pub use standing::Fitness;
@@ -86,7 +86,7 @@
 #[derive(Debug, Default)]
 pub struct UpstreamHealth {
     config: HealthConfig,
-    by_start: HashMap<StartId, Record>,
+    by_start: HashMap<UpstreamIncarnation, Record>,
 }
 
 impl UpstreamHealth {
@@ -96,7 +96,7 @@
     }
 
     /// Something has shown how a start of an upstream is.
-    pub fn observe(&mut self, now: MonoTime, start: &StartId, evidence: Evidence) {
+    pub fn observe(&mut self, now: MonoTime, start: &UpstreamIncarnation, evidence: Evidence) {
         let Self { config, by_start } = self;
         let record = by_start.entry(start.clone()).or_default();
         record.is_unreachable = evidence == Evidence::Unreachable;
@@ -130,7 +130,7 @@
     }
 
     /// Another entry tells what it knows of a start of an upstream.
-    pub fn told(&mut self, now: MonoTime, start: &StartId, told: TellableStanding) {
+    pub fn told(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: TellableStanding) {
         let told = told.bounded(&self.config);
         let record = self.by_start.entry(start.clone()).or_default();
         let has_answered = record
@@ -142,7 +142,10 @@
     }
 
     /// What other entries should know.
-    pub fn tellable(&self, now: MonoTime) -> impl Iterator<Item = (&StartId, TellableStanding)> {
+    pub fn tellable(
+        &self,
+        now: MonoTime,
+    ) -> impl Iterator<Item = (&UpstreamIncarnation, TellableStanding)> {
         let reached = self.by_start.iter().filter(|(_, record)| !record.is_unreachable);
         reached.filter_map(move |(start, record)| {
             Some((start, record.standing.tellable(now, &self.config)?))
@@ -150,17 +153,17 @@
     }
 
     /// How fit for use a start of an upstream is.
-    pub fn fitness(&self, now: MonoTime, start: &StartId) -> Fitness {
+    pub fn fitness(&self, now: MonoTime, start: &UpstreamIncarnation) -> Fitness {
         self.by_start.get(start).map_or(Fitness::Well, |record| record.standing.fitness(now))
     }
 
     /// The share of answers that failed lately, from 0 to 1.
-    pub fn failure_rate(&self, now: MonoTime, start: &StartId) -> f64 {
+    pub fn failure_rate(&self, now: MonoTime, start: &UpstreamIncarnation) -> f64 {
         self.by_start.get(start).map_or(0.0, |record| record.decayed(now, &self.config))
     }
 
     /// Forgets starts that are gone.
-    pub fn retain(&mut self, mut is_known: impl FnMut(&StartId) -> bool) {
+    pub fn retain(&mut self, mut is_known: impl FnMut(&UpstreamIncarnation) -> bool) {
         self.by_start.retain(|start, _| is_known(start));
     }
 }
--- a/crates/policy/src/balance/load.rs
+++ b/crates/policy/src/balance/load.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 
 use super::UpstreamKey;
 use super::WorkInProgress;
@@ -46,26 +46,26 @@
 /// reported of themselves.
 #[derive(Debug, Default)]
 pub struct UpstreamLoad {
-    by_start: HashMap<StartId, StartLoad>,
+    by_start: HashMap<UpstreamIncarnation, StartLoad>,
 }
 
 impl UpstreamLoad {
     /// Work was sent.
-    pub fn started(&mut self, start: &StartId, work: WorkItem) {
+    pub fn started(&mut self, start: &UpstreamIncarnation, work: WorkItem) {
         let load = self.by_start.entry(start.clone()).or_default();
         load.in_progress += 1;
         load.unread_ms += work.unread_ms;
     }
 
     /// The first part of the answer came: its prompt has been read.
-    pub fn prompt_read(&mut self, start: &StartId, work: WorkItem) {
+    pub fn prompt_read(&mut self, start: &UpstreamIncarnation, work: WorkItem) {
         if let Some(load) = self.by_start.get_mut(start) {
             load.unread_ms = (load.unread_ms - work.unread_ms).max(0.0);
         }
     }
 
     /// The work has ended, however; `work` is what had not been read by then.
-    pub fn ended(&mut self, start: &StartId, work: WorkItem) {
+    pub fn ended(&mut self, start: &UpstreamIncarnation, work: WorkItem) {
         self.prompt_read(start, work);
         if let Some(load) = self.by_start.get_mut(start) {
             load.in_progress = load.in_progress.saturating_sub(1);
@@ -73,13 +73,13 @@
     }
 
     /// An upstream told its load.
-    pub fn reported(&mut self, now: MonoTime, start: &StartId, load: ReportedLoad) {
+    pub fn reported(&mut self, now: MonoTime, start: &UpstreamIncarnation, load: ReportedLoad) {
         self.by_start.entry(start.clone()).or_default().reported = Some((now, load));
     }
 
     /// Requests in progress: this entry's own and `others`, or what the upstream told if that
     /// is more.
-    pub fn in_progress(&self, now: MonoTime, start: &StartId, others: u32) -> u32 {
+    pub fn in_progress(&self, now: MonoTime, start: &UpstreamIncarnation, others: u32) -> u32 {
         let Some(load) = self.by_start.get(start) else {
             return others;
         };
@@ -89,7 +89,7 @@
     }
 
     /// How long an upstream is expected to read prompts of this entry's requests.
-    pub fn unread_ms(&self, start: &StartId) -> f64 {
+    pub fn unread_ms(&self, start: &UpstreamIncarnation) -> f64 {
         self.by_start.get(start).map_or(0.0, |load| load.unread_ms)
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Forgets upstreams that are gone and have no work left.
-    pub fn retain(&mut self, mut is_known: impl FnMut(&StartId) -> bool) {
+    pub fn retain(&mut self, mut is_known: impl FnMut(&UpstreamIncarnation) -> bool) {
         self.by_start.retain(|start, load| load.in_progress > 0 || is_known(start));
     }
 }
--- a/crates/policy/src/balance/prefix_caches.rs
+++ b/crates/policy/src/balance/prefix_caches.rs
@@ -6,7 +6,7 @@
 use stallhoist_core::ModelName;
 use stallhoist_core::MonoTime;
 use stallhoist_core::PromptPart;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 
 /// How long a part is believed to stay in an engine's prefix cache after its last use.
 const KEPT_FOR: Duration = Duration::from_secs(30);
@@ -22,7 +22,7 @@
 
 #[derive(Debug)]
 struct Holder {
-    start: StartId,
+    start: UpstreamIncarnation,
     last_used: MonoTime,
 }
 
@@ -38,7 +38,7 @@
     pub fn read(
         &mut self,
         now: MonoTime,
-        start: &StartId,
+        start: &UpstreamIncarnation,
         model: &ModelName,
         parts: &[PromptPart],
     ) {
@@ -59,7 +59,7 @@
     pub fn read_tokens(
         &self,
         now: MonoTime,
-        start: &StartId,
+        start: &UpstreamIncarnation,
         model: &ModelName,
         parts: &[PromptPart],
     ) -> u64 {
@@ -73,7 +73,7 @@
     }
 
     /// Forgets upstreams that are gone.
-    pub fn retain(&mut self, mut is_known: impl FnMut(&StartId) -> bool) {
+    pub fn retain(&mut self, mut is_known: impl FnMut(&UpstreamIncarnation) -> bool) {
         self.holders.retain(|_, holders| {
             holders.retain(|holder| is_known(&holder.start));
             !holders.is_empty()
--- a/crates/policy/src/cold/upstreams.rs
+++ b/crates/policy/src/cold/upstreams.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 
 use super::bound::ColdBound;
 use super::bound::ColdService;
@@ -22,7 +22,7 @@
     bound: Option<ColdBound>,
     /// Those that are not known to be warm, few mostly: each choice looks for each upstream here. With a
     /// record of each, an entry before 3,000 upstreams used three times the processor.
-    by_start: HashMap<StartId, Record>,
+    by_start: HashMap<UpstreamIncarnation, Record>,
 }
 
 impl ColdUpstreams {
@@ -33,7 +33,7 @@
 
     /// An upstream has just said how long it is cold, in an answer or by a change of its entry in
     /// the list.
-    pub fn told(&mut self, now: MonoTime, start: &StartId, told: ToldCold) {
+    pub fn told(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: ToldCold) {
         if self.bound.is_none() {
             return;
         }
@@ -46,7 +46,7 @@
 
     /// An upstream's entry was read, which may be older than what was known: the same words as
     /// before do not make it cold once more.
-    pub fn read(&mut self, now: MonoTime, start: &StartId, told: ToldCold) {
+    pub fn read(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: ToldCold) {
         let known = self.by_start.get(start).map(Record::last_told);
         if known != Some(told) {
             self.told(now, start, told);
@@ -54,7 +54,7 @@
     }
 
     /// Operators have taken an upstream back into use, for which it may have turned cold.
-    pub fn is_back_in_use(&mut self, now: MonoTime, start: &StartId) {
+    pub fn is_back_in_use(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
         if self.bound.is_some() {
             self.by_start.entry(start.clone()).or_insert_with(Record::warm).is_back_in_use(now);
         }
@@ -64,7 +64,7 @@
     pub fn place(
         &self,
         now: MonoTime,
-        start: &StartId,
+        start: &UpstreamIncarnation,
         service: Option<&ColdService>,
         fleet: &Fleet,
     ) -> Place {
@@ -91,19 +91,19 @@
     }
 
     /// A request is sent to an upstream.
-    pub fn sent(&mut self, now: MonoTime, start: &StartId) {
+    pub fn sent(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
         if let Some(record) = self.by_start.get_mut(start) {
             record.sent(now);
         }
     }
 
     /// Those that may be cold.
-    pub fn starts(&self) -> impl Iterator<Item = &StartId> {
+    pub fn starts(&self) -> impl Iterator<Item = &UpstreamIncarnation> {
         self.by_start.keys()
     }
 
     /// Forgets upstreams that are warm or gone.
-    pub fn retain(&mut self, mut is_cold: impl FnMut(&StartId) -> bool) {
+    pub fn retain(&mut self, mut is_cold: impl FnMut(&UpstreamIncarnation) -> bool) {
         self.by_start.retain(|start, _| is_cold(start));
     }
 }
--- a/crates/policy/src/named_limits/upstreams.rs
+++ b/crates/policy/src/named_limits/upstreams.rs
@@ -6,7 +6,7 @@
 
 use stallhoist_core::MonoTime;
 use stallhoist_core::RequestRate;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 
 use super::named_limit::NamedLimit;
 use super::record::Record;
@@ -45,7 +45,7 @@
     pub fn heard(
         &mut self,
         now: MonoTime,
-        start: &StartId,
+        start: &UpstreamIncarnation,
         sent: MonoTime,
         named: NamedLimit,
     ) -> bool {
@@ -91,7 +91,7 @@
     }
 
     /// Whether one of these entries may send a request to an upstream now.
-    pub fn place(&self, now: MonoTime, start: &StartId, fleet: &Fleet) -> Place {
+    pub fn place(&self, now: MonoTime, start: &UpstreamIncarnation, fleet: &Fleet) -> Place {
         if self.by_upstream.is_empty() {
             return Place::Unbounded;
         }
@@ -101,14 +101,14 @@
     }
 
     /// A request is sent to an upstream.
-    pub fn sent(&mut self, now: MonoTime, start: &StartId) {
+    pub fn sent(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
         if let Some(record) = self.by_upstream.get_mut(&UpstreamKey::of(start)) {
             record.sent(now);
         }
     }
 
     /// The limit of an upstream, if it has one.
-    pub fn limit(&self, start: &StartId) -> Option<RequestRate> {
+    pub fn limit(&self, start: &UpstreamIncarnation) -> Option<RequestRate> {
         self.by_upstream.get(&UpstreamKey::of(start))?.limit()
     }
 
--- a/tests/all/decisions/balance.rs
+++ b/tests/all/decisions/balance.rs
@@ -3,7 +3,7 @@
 use stallhoist_core::ModelName;
 use stallhoist_core::MonoTime;
 use stallhoist_core::PromptPart;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::balance::BalanceConfig;
 use stallhoist_policy::balance::CandidateFacts;
 use stallhoist_policy::balance::Evidence;
@@ -20,11 +20,11 @@
 
 use super::at_ms;
 
-fn start(name: &str) -> StartId {
+fn start(name: &str) -> UpstreamIncarnation {
     name.parse().expect("a name")
 }
 
-fn is_resting(health: &UpstreamHealth, now: MonoTime, start: &StartId) -> bool {
+fn is_resting(health: &UpstreamHealth, now: MonoTime, start: &UpstreamIncarnation) -> bool {
     health.fitness(now, start) == Fitness::Resting
 }
 
--- a/tests/all/decisions/cold.rs
+++ b/tests/all/decisions/cold.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use stallhoist_core::HostId;
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::cold::ColdBound;
 use stallhoist_policy::cold::ColdService;
 use stallhoist_policy::cold::ColdUpstreams;
@@ -34,7 +34,7 @@
     format!("host-{number}").parse().expect("a name")
 }
 
-fn start(name: &str) -> StartId {
+fn start(name: &str) -> UpstreamIncarnation {
     name.parse().expect("a start")
 }
 
@@ -52,7 +52,7 @@
         Self { cold: ColdUpstreams::new(Some(BOUND)), fleet }
     }
 
-    fn place(&self, now: MonoTime, start: &StartId) -> Place {
+    fn place(&self, now: MonoTime, start: &UpstreamIncarnation) -> Place {
         self.cold.place(now, start, Some(&SERVICE), &self.fleet)
     }
 }
--- a/tests/all/decisions/directory.rs
+++ b/tests/all/decisions/directory.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use stallhoist_core::ServiceName;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_gateway::members::Directory;
 use stallhoist_gateway::members::Member;
 use stallhoist_gateway::members::MemberState;
@@ -179,7 +179,7 @@
     Superseded { start: start(name), is_planned: false }
 }
 
-fn start(name: &str) -> StartId {
+fn start(name: &str) -> UpstreamIncarnation {
     name.parse().expect("a start")
 }
 
--- a/tests/all/decisions/fleet_work.rs
+++ b/tests/all/decisions/fleet_work.rs
@@ -1,7 +1,7 @@
 //! The work that other entries tell: what is believed, and for how long.
 
 use stallhoist_core::HostId;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::balance::FleetWork;
 use stallhoist_policy::balance::UpstreamKey;
 use stallhoist_policy::balance::WorkByUpstream;
@@ -14,7 +14,7 @@
 }
 
 fn upstream(n: u32) -> UpstreamKey {
-    let instance: StartId = format!("instance-{n}").parse().expect("a name");
+    let instance: UpstreamIncarnation = format!("instance-{n}").parse().expect("a name");
     UpstreamKey::of(&instance)
 }
 
--- a/tests/all/decisions/health.rs
+++ b/tests/all/decisions/health.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stallhoist_core::MonoTime;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::balance::Evidence;
 use stallhoist_policy::balance::Fitness;
 use stallhoist_policy::balance::TellableStanding;
@@ -11,7 +11,7 @@
 
 use super::at_ms;
 
-fn start() -> StartId {
+fn start() -> UpstreamIncarnation {
     "i-1".parse().expect("a start")
 }
 
@@ -70,7 +70,7 @@
 #[test]
 fn nothing_that_is_known_of_a_start_is_known_of_a_later_one() {
     let mut health = UpstreamHealth::default();
-    let start = |text: &str| -> StartId { text.parse().expect("a start") };
+    let start = |text: &str| -> UpstreamIncarnation { text.parse().expect("a start") };
     for _ in 0..5 {
         health.observe(at_ms(0), &start("i-1@1000"), Evidence::Misdirected);
         health.observe(at_ms(0), &start("i-1@1000"), Evidence::Failed);
--- a/tests/all/decisions/list_properties.rs
+++ b/tests/all/decisions/list_properties.rs
@@ -12,9 +12,9 @@
 use serde_json::json;
 use stallhoist_core::InstanceId;
 use stallhoist_core::ServiceName;
-use stallhoist_core::StartId;
 use stallhoist_core::StartTime;
 use stallhoist_core::StoreVersion;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_gateway::control_store::Change;
 use stallhoist_gateway::control_store::ControlStore;
 use stallhoist_gateway::control_store::Feed;
@@ -59,7 +59,7 @@
 
 fn member(instance: u8, born: u64, place: u8, is_ready: bool) -> Member {
     Member {
-        start: StartId { instance: id(instance), started: Some(StartTime(born)) },
+        start: UpstreamIncarnation { instance: id(instance), started: Some(StartTime(born)) },
         service: service(),
         addr: SocketAddr::from(([127, 0, 0, 1], u16::from(place) + 1)),
         zone: "z".parse().expect("a name"),
@@ -95,7 +95,7 @@
     }
 }
 
-fn in_use(directory: &Directory, now_ms: u64) -> Vec<StartId> {
+fn in_use(directory: &Directory, now_ms: u64) -> Vec<UpstreamIncarnation> {
     let service = service();
     let members = directory.of_service(at_ms(now_ms), &service, false);
     members.map(|member| member.start.clone()).collect()
@@ -117,7 +117,7 @@
     #[test]
     fn no_start_comes_back_after_a_later_one(events in vec(event(), 1..55)) {
         let mut directory = Directory::default();
-        let mut latest: HashMap<InstanceId, StartId> = HashMap::new();
+        let mut latest: HashMap<InstanceId, UpstreamIncarnation> = HashMap::new();
         for (n, event) in events.iter().enumerate() {
             let now_ms = n as u64 * 100;
             let unused = take(&mut directory, now_ms, event);
--- a/tests/all/decisions/named_limits.rs
+++ b/tests/all/decisions/named_limits.rs
@@ -6,7 +6,7 @@
 use stallhoist_core::HostId;
 use stallhoist_core::MonoTime;
 use stallhoist_core::RequestRate;
-use stallhoist_core::StartId;
+use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::balance::UpstreamKey;
 use stallhoist_policy::fleet_bound::Fleet;
 use stallhoist_policy::fleet_bound::Place;
@@ -30,7 +30,7 @@
     format!("host-{number}").parse().expect("a name")
 }
 
-fn start() -> StartId {
+fn start() -> UpstreamIncarnation {
     "i-1".parse().expect("a start")
 }
 
