--- a/crates/policy/src/asked_rests.rs
+++ b/crates/policy/src/asked_rests.rs
@@ -7,7 +7,7 @@
 use stallhoist_core::MonoTime;
 use stallhoist_core::UpstreamIncarnation;
 
-use crate::fleet_bound::Place;
+use crate::fleet_bound::SlotAvailability;
 
 /// The longest rest that is believed, whatever is asked for: then one request finds out, so that no
 /// upstream is put out by nonsense.
@@ -33,13 +33,13 @@
     }
 
     /// Whether a request may be sent to an upstream now.
-    pub fn place(&self, now: MonoTime, start: &UpstreamIncarnation) -> Place {
+    pub fn place(&self, now: MonoTime, start: &UpstreamIncarnation) -> SlotAvailability {
         if self.by_start.is_empty() {
-            return Place::Unbounded;
+            return SlotAvailability::Unbounded;
         }
         match self.by_start.get(start) {
-            Some(until) if now < *until => Place::FreeAt(*until),
-            _ => Place::Unbounded,
+            Some(until) if now < *until => SlotAvailability::FreeAt(*until),
+            _ => SlotAvailability::Unbounded,
         }
     }
 
--- a/crates/policy/src/cold/upstreams.rs
+++ b/crates/policy/src/cold/upstreams.rs
@@ -13,7 +13,7 @@
 use super::record::WINDOW;
 use crate::balance::UpstreamKey;
 use crate::fleet_bound::Fleet;
-use crate::fleet_bound::Place;
+use crate::fleet_bound::SlotAvailability;
 
 /// The upstreams that may be cold, as one entry knows them.
 #[derive(Debug)]
@@ -67,26 +67,26 @@
         start: &UpstreamIncarnation,
         service: Option<&ColdService>,
         fleet: &Fleet,
-    ) -> Place {
+    ) -> SlotAvailability {
         if self.by_start.is_empty() {
-            return Place::Unbounded;
+            return SlotAvailability::Unbounded;
         }
         let (Some(bound), Some(service)) = (&self.bound, service) else {
-            return Place::Unbounded;
+            return SlotAvailability::Unbounded;
         };
         let Some(record) = self.by_start.get(start) else {
-            return Place::Unbounded;
+            return SlotAvailability::Unbounded;
         };
         let until = record.until(service);
         if now >= until {
-            return Place::Unbounded;
+            return SlotAvailability::Unbounded;
         }
         let rank = fleet.rank_for(now, UpstreamKey::of(start), &record.rank);
         let share = rank.map_or(0, |rank| bound.share(service, rank));
         match record.sent.next_at(now, share, WINDOW) {
-            Some(at) if at <= now => Place::Free,
-            Some(at) => Place::FreeAt(at.min(until)),
-            None => Place::OthersUntil(until),
+            Some(at) if at <= now => SlotAvailability::Free,
+            Some(at) => SlotAvailability::FreeAt(at.min(until)),
+            None => SlotAvailability::OthersUntil(until),
         }
     }
 
