--- a/benches/support/cold_world.rs
+++ b/benches/support/cold_world.rs
@@ -11,7 +11,7 @@
 use stallhoist_policy::cold::ColdBound;
 use stallhoist_policy::cold::ColdService;
 use stallhoist_policy::cold::ColdUpstreams;
-use stallhoist_policy::cold::ToldCold;
+use stallhoist_policy::cold::ReportedCold;
 use stallhoist_policy::fleet_bound::Fleet;
 use stallhoist_policy::fleet_bound::SlotAvailability;
 
@@ -216,7 +216,7 @@
             return;
         }
         entry.has_heard = true;
-        let told = ToldCold::For(Duration::from_secs_f64(COLD_S));
+        let told = ReportedCold::For(Duration::from_secs_f64(COLD_S));
         for start in &self.starts {
             entry.cold.told(at(now_s), start, told);
         }
--- a/crates/gateway/src/follow/taking.rs
+++ b/crates/gateway/src/follow/taking.rs
@@ -1,6 +1,6 @@
 //! What pages of the store say comes into force.
 
-use stallhoist_policy::cold::ToldCold;
+use stallhoist_policy::cold::ReportedCold;
 
 use super::Follower;
 use super::change_log::log_change;
@@ -136,7 +136,7 @@
             self.unreadable(member.instance.as_str(), &member.problem, outcome);
         }
         if let Change::MemberListed(member) = &change
-            && member.cold == ToldCold::Unreadable
+            && member.cold == ReportedCold::Unreadable
         {
             let outcome = "it is taken to be cold after its start";
             let problem = "how much longer it is cold is no time";
--- a/crates/gateway/src/members/member.rs
+++ b/crates/gateway/src/members/member.rs
@@ -6,7 +6,7 @@
 use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::VersionName;
 use stallhoist_core::ZoneName;
-use stallhoist_policy::cold::ToldCold;
+use stallhoist_policy::cold::ReportedCold;
 
 /// What an upstream says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,5 +35,5 @@
     /// What it says of itself.
     pub state: MemberState,
     /// What it says of how much longer it is cold.
-    pub cold: ToldCold,
+    pub cold: ReportedCold,
 }
--- a/crates/gateway/src/upstreams/notices.rs
+++ b/crates/gateway/src/upstreams/notices.rs
@@ -2,7 +2,7 @@
 
 use stallhoist_core::MonoTime;
 use stallhoist_core::UpstreamIncarnation;
-use stallhoist_policy::cold::ToldCold;
+use stallhoist_policy::cold::ReportedCold;
 
 use super::Upstreams;
 use crate::notice::Notice;
@@ -22,7 +22,7 @@
             known.load.reported(now, start, load);
         }
         if let Some(cold) = notice.cold {
-            known.cold.told(now, start, ToldCold::For(cold));
+            known.cold.told(now, start, ReportedCold::For(cold));
         }
         if notice.is_leaving {
             known.directory.says_that_it_leaves(now, start);
--- a/crates/policy/src/cold/mod.rs
+++ b/crates/policy/src/cold/mod.rs
@@ -11,5 +11,5 @@
 
 pub use bound::ColdBound;
 pub use bound::ColdService;
-pub use record::ToldCold;
+pub use record::ReportedCold;
 pub use upstreams::ColdUpstreams;
--- a/crates/policy/src/cold/record.rs
+++ b/crates/policy/src/cold/record.rs
@@ -17,7 +17,7 @@
 
 /// What an upstream says of how much longer it is cold.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum ToldCold {
+pub enum ReportedCold {
     /// Nothing: it is taken to be cold from its start on.
     #[default]
     Unsaid,
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Record {
     since: MonoTime,
-    told: ToldCold,
+    told: ReportedCold,
     /// When the operators last took its availability zone back.
     back_in_use: Option<MonoTime>,
     /// When requests were sent to it, of the last [`WINDOW`].
@@ -43,10 +43,10 @@
 impl Record {
     /// One that has said that it is warm.
     pub(super) fn warm() -> Self {
-        Self { told: ToldCold::For(Duration::ZERO), ..Self::default() }
+        Self { told: ReportedCold::For(Duration::ZERO), ..Self::default() }
     }
 
-    pub(super) fn told(&mut self, now: MonoTime, told: ToldCold) {
+    pub(super) fn told(&mut self, now: MonoTime, told: ReportedCold) {
         self.since = now;
         self.told = told;
         self.back_in_use = None;
@@ -57,15 +57,15 @@
     }
 
     /// What was said last.
-    pub(super) fn last_told(&self) -> ToldCold {
+    pub(super) fn last_told(&self) -> ReportedCold {
         self.told
     }
 
     /// Until when it is taken to be cold.
     pub(super) fn until(&self, service: &ColdService) -> MonoTime {
         let told = match self.told {
-            ToldCold::Unsaid | ToldCold::Unreadable => service.after_start,
-            ToldCold::For(told) => told,
+            ReportedCold::Unsaid | ReportedCold::Unreadable => service.after_start,
+            ReportedCold::For(told) => told,
         };
         let told = self.since.after(told.min(MAX_COLD));
         let back = self.back_in_use.map(|back| back.after(service.after_start.min(MAX_COLD)));
--- a/crates/policy/src/cold/upstreams.rs
+++ b/crates/policy/src/cold/upstreams.rs
@@ -9,7 +9,7 @@
 use super::bound::ColdBound;
 use super::bound::ColdService;
 use super::record::Record;
-use super::record::ToldCold;
+use super::record::ReportedCold;
 use super::record::WINDOW;
 use crate::balance::UpstreamKey;
 use crate::fleet_bound::Fleet;
@@ -33,11 +33,11 @@
 
     /// An upstream has just said how long it is cold, in an answer or by a change of its entry in
     /// the list.
-    pub fn told(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: ToldCold) {
+    pub fn told(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: ReportedCold) {
         if self.bound.is_none() {
             return;
         }
-        if told == ToldCold::For(Duration::ZERO) {
+        if told == ReportedCold::For(Duration::ZERO) {
             self.by_start.remove(start);
             return;
         }
@@ -46,7 +46,7 @@
 
     /// An upstream's entry was read, which may be older than what was known: the same words as
     /// before do not make it cold once more.
-    pub fn read(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: ToldCold) {
+    pub fn read(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: ReportedCold) {
         let known = self.by_start.get(start).map(Record::last_told);
         if known != Some(told) {
             self.told(now, start, told);
--- a/tests/all/decisions/directory.rs
+++ b/tests/all/decisions/directory.rs
@@ -8,7 +8,7 @@
 use stallhoist_gateway::members::Member;
 use stallhoist_gateway::members::MemberState;
 use stallhoist_gateway::members::Superseded;
-use stallhoist_policy::cold::ToldCold;
+use stallhoist_policy::cold::ReportedCold;
 
 use super::at_ms;
 
@@ -21,7 +21,7 @@
         version: "v1".parse().expect("a name"),
         slots: 4,
         state,
-        cold: ToldCold::Unsaid,
+        cold: ReportedCold::Unsaid,
     }
 }
 
--- a/tests/all/decisions/list_properties.rs
+++ b/tests/all/decisions/list_properties.rs
@@ -22,7 +22,7 @@
 use stallhoist_gateway::members::Directory;
 use stallhoist_gateway::members::Member;
 use stallhoist_gateway::members::MemberState;
-use stallhoist_policy::cold::ToldCold;
+use stallhoist_policy::cold::ReportedCold;
 use stallhoist_settings::StoreSettings;
 use stallhoist_users_platform::PlatformStore;
 
@@ -66,7 +66,7 @@
         version: "v1".parse().expect("a name"),
         slots: 4,
         state: if is_ready { MemberState::Ready } else { MemberState::Draining },
-        cold: ToldCold::Unsaid,
+        cold: ReportedCold::Unsaid,
     }
 }
 
