--- a/benches/support/ends_world.rs
+++ b/benches/support/ends_world.rs
@@ -15,7 +15,7 @@
 use stallhoist_core::StoreVersion;
 use stallhoist_measure::EventQueue;
 use stallhoist_policy::balance::UpstreamKey;
-use stallhoist_policy::fatal::EndNews;
+use stallhoist_policy::fatal::CrashUpdate;
 use stallhoist_policy::fatal::FatalRecord;
 use stallhoist_policy::fatal::FatalRequests;
 
@@ -57,7 +57,7 @@
     /// An entry learns that an upstream has ended some time ago.
     Shown(usize, UpstreamKey),
     /// What an entry tells another one in one message.
-    Told(usize, Vec<EndNews>),
+    Told(usize, Vec<CrashUpdate>),
     Stored(usize, RequestFingerprint, Option<(StoreVersion, FatalRecord)>),
     Writers,
 }
@@ -183,7 +183,7 @@
             }
             Event::Shown(entry, upstream) => {
                 let requests = self.books[entry].upstream_ended(self.now, upstream);
-                let news = |request| EndNews { request, upstream, is_cleared: false };
+                let news = |request| CrashUpdate { request, upstream, is_cleared: false };
                 self.tell(entry, &requests.into_iter().map(news).collect::<Vec<_>>());
             }
             Event::Told(entry, news) => {
@@ -274,7 +274,7 @@
         let there = |number: &usize| self.requests[*number].upstream == Some(upstream);
         let broken: Vec<_> = (0..self.requests.len()).filter(there).collect();
         // In the order of entries, so that a run is the same every time.
-        let mut news: BTreeMap<usize, Vec<EndNews>> = BTreeMap::new();
+        let mut news: BTreeMap<usize, Vec<CrashUpdate>> = BTreeMap::new();
         for number in broken {
             if let Some(end) = self.broke_off(number, key, is_late) {
                 news.entry(self.requests[number].entry).or_default().push(end);
@@ -307,7 +307,7 @@
         number: usize,
         upstream: UpstreamKey,
         is_late: bool,
-    ) -> Option<EndNews> {
+    ) -> Option<CrashUpdate> {
         let request = &mut self.requests[number];
         request.upstream = None;
         request.ends += 1;
@@ -324,10 +324,10 @@
             self.figures.lost += 1;
             self.new_stream(0.0);
         }
-        is_new.then_some(EndNews { request: print, upstream, is_cleared: false })
+        is_new.then_some(CrashUpdate { request: print, upstream, is_cleared: false })
     }
 
-    fn tell(&mut self, from: usize, news: &[EndNews]) {
+    fn tell(&mut self, from: usize, news: &[CrashUpdate]) {
         if self.setting.policy != Policy::Kept || news.is_empty() {
             return;
         }
--- a/crates/gateway/src/fatal/book.rs
+++ b/crates/gateway/src/fatal/book.rs
@@ -9,7 +9,7 @@
 use stallhoist_core::RequestFingerprint;
 use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::balance::UpstreamKey;
-use stallhoist_policy::fatal::EndNews;
+use stallhoist_policy::fatal::CrashUpdate;
 use stallhoist_policy::fatal::FatalChange;
 use stallhoist_policy::fatal::FatalConfig;
 use stallhoist_policy::fatal::FatalRequests;
@@ -132,7 +132,7 @@
     }
 
     /// Other entries tell of ends.
-    pub(crate) fn told(&self, now: MonoTime, news: impl Iterator<Item = EndNews>) {
+    pub(crate) fn told(&self, now: MonoTime, news: impl Iterator<Item = CrashUpdate>) {
         let new = self.change(|requests| requests.told(now, news));
         if new > 0 {
             self.has_news.notify_one();
@@ -163,7 +163,7 @@
     }
 
     /// What other entries should know.
-    pub(crate) fn tellable(&self, now: MonoTime) -> Vec<EndNews> {
+    pub(crate) fn tellable(&self, now: MonoTime) -> Vec<CrashUpdate> {
         if !self.is_used() {
             return Vec::new();
         }
@@ -171,7 +171,7 @@
     }
 
     /// What an entry should know that has just started.
-    pub(crate) fn tellable_at_start(&self) -> Vec<EndNews> {
+    pub(crate) fn tellable_at_start(&self) -> Vec<CrashUpdate> {
         self.requests.lock().tellable_at_start().collect()
     }
 
--- a/crates/gateway/src/peers/ends.rs
+++ b/crates/gateway/src/peers/ends.rs
@@ -4,7 +4,7 @@
 //! within seconds; an entry that starts is told all of it.
 
 use stallhoist_policy::balance::UpstreamKey;
-use stallhoist_policy::fatal::EndNews;
+use stallhoist_policy::fatal::CrashUpdate;
 
 use super::messages::EndOf;
 use crate::state::GatewayState;
@@ -22,8 +22,8 @@
     messages(state.fatal.tellable_at_start())
 }
 
-fn messages(ends: Vec<EndNews>) -> Vec<EndOf> {
-    let message = |news: EndNews| EndOf {
+fn messages(ends: Vec<CrashUpdate>) -> Vec<EndOf> {
+    let message = |news: CrashUpdate| EndOf {
         request: news.request.0.to_vec(),
         upstream: news.upstream.0,
         is_cleared: news.is_cleared,
@@ -37,7 +37,7 @@
         return;
     }
     let news = |end: &EndOf| {
-        Some(EndNews {
+        Some(CrashUpdate {
             request: end.request.as_slice().try_into().ok()?,
             upstream: UpstreamKey(end.upstream),
             is_cleared: end.is_cleared,
--- a/crates/policy/src/fatal/mod.rs
+++ b/crates/policy/src/fatal/mod.rs
@@ -52,7 +52,7 @@
 
 /// What entries tell each other: an upstream ended while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EndNews {
+pub struct CrashUpdate {
     /// The request.
     pub request: RequestFingerprint,
     /// The upstream.
@@ -134,7 +134,7 @@
             {
                 record.standing = Standing::HeldBack(trying.held().proved(&self.config));
             }
-            let end = EndNews { request, upstream, is_cleared: false };
+            let end = CrashUpdate { request, upstream, is_cleared: false };
             if self.learnt(now, end, &mut concerned) {
                 new.push(request);
             }
@@ -177,7 +177,7 @@
 
     /// Another entry tells of ends. Gives how many of them are new. All are judged together, once: in a
     /// time of many ends a message has tens of them, which concern each other.
-    pub fn told(&mut self, now: MonoTime, news: impl IntoIterator<Item = EndNews>) -> usize {
+    pub fn told(&mut self, now: MonoTime, news: impl IntoIterator<Item = CrashUpdate>) -> usize {
         let mut concerned = Vec::new();
         let mut new = 0;
         for news in news {
@@ -191,10 +191,10 @@
     fn learnt(
         &mut self,
         now: MonoTime,
-        news: EndNews,
+        news: CrashUpdate,
         concerned: &mut Vec<RequestFingerprint>,
     ) -> bool {
-        let EndNews { request, upstream, is_cleared } = news;
+        let CrashUpdate { request, upstream, is_cleared } = news;
         if !self.has_room(&news) {
             return false;
         }
@@ -224,7 +224,7 @@
 
     /// Whether one more end can be remembered. The request that has not changed for the longest time
     /// gives way, unless it is held back.
-    fn has_room(&mut self, news: &EndNews) -> bool {
+    fn has_room(&mut self, news: &CrashUpdate) -> bool {
         let beside = self.beside.get(&news.upstream).map_or(0, BTreeSet::len);
         if !news.is_cleared && beside >= self.config.max_beside {
             return false;
@@ -348,21 +348,21 @@
     }
 
     /// What other entries should know that have listened lately.
-    pub fn tellable(&self, now: MonoTime) -> impl Iterator<Item = EndNews> {
+    pub fn tellable(&self, now: MonoTime) -> impl Iterator<Item = CrashUpdate> {
         let tell_for = self.config.tell_for;
         self.all_news().filter(move |(end, _)| now.since(end.learnt) < tell_for).map(|(_, n)| n)
     }
 
     /// What an entry should know that has just started.
-    pub fn tellable_at_start(&self) -> impl Iterator<Item = EndNews> {
+    pub fn tellable_at_start(&self) -> impl Iterator<Item = CrashUpdate> {
         self.all_news().map(|(_, news)| news)
     }
 
-    fn all_news(&self) -> impl Iterator<Item = (End, EndNews)> {
+    fn all_news(&self) -> impl Iterator<Item = (End, CrashUpdate)> {
         self.records.iter().flat_map(|(request, record)| {
             record.ends().iter().map(|(upstream, end)| {
                 let is_cleared = !end.counts;
-                (*end, EndNews { request: *request, upstream: *upstream, is_cleared })
+                (*end, CrashUpdate { request: *request, upstream: *upstream, is_cleared })
             })
         })
     }
--- a/tests/all/decisions/fatal.rs
+++ b/tests/all/decisions/fatal.rs
@@ -11,7 +11,7 @@
 use stallhoist_core::RequestFingerprint;
 use stallhoist_core::StoreVersion;
 use stallhoist_policy::balance::UpstreamKey;
-use stallhoist_policy::fatal::EndNews;
+use stallhoist_policy::fatal::CrashUpdate;
 use stallhoist_policy::fatal::FatalConfig;
 use stallhoist_policy::fatal::FatalRecord;
 use stallhoist_policy::fatal::FatalRequests;
@@ -280,8 +280,8 @@
     assert_eq!(requests.tellable_at_start().count(), 1);
 }
 
-fn news(n: u32, upstream: u64, is_cleared: bool) -> EndNews {
-    EndNews { request: request(n), upstream: UpstreamKey(upstream), is_cleared }
+fn news(n: u32, upstream: u64, is_cleared: bool) -> CrashUpdate {
+    CrashUpdate { request: request(n), upstream: UpstreamKey(upstream), is_cleared }
 }
 
 proptest! {
