--- a/crates/gateway/src/peers/standings.rs
+++ b/crates/gateway/src/peers/standings.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use stallhoist_policy::balance::TellableStanding;
+use stallhoist_policy::balance::HealthUpdate;
 use stallhoist_policy::balance::UpstreamKey;
 
 use super::messages::StandingNews;
@@ -19,10 +19,10 @@
 /// What this entry knows.
 pub(super) fn own_standings(state: &GatewayState) -> Vec<StandingNews> {
     let standings = state.upstreams.standings(state.now());
-    let message = |(key, told): (UpstreamKey, TellableStanding)| {
+    let message = |(key, told): (UpstreamKey, HealthUpdate)| {
         let (is_over, left) = match told {
-            TellableStanding::Over(left) => (true, left),
-            TellableStanding::Refusing(left) => (false, left),
+            HealthUpdate::Over(left) => (true, left),
+            HealthUpdate::Refusing(left) => (false, left),
         };
         let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
         StandingNews { upstream: key.0, left_ms, is_over }
@@ -34,11 +34,8 @@
 pub(super) fn take_standings(state: &GatewayState, told: &[StandingNews]) {
     let standing = |news: &StandingNews| {
         let left = Duration::from_millis(u64::from(news.left_ms));
-        let told = if news.is_over {
-            TellableStanding::Over(left)
-        } else {
-            TellableStanding::Refusing(left)
-        };
+        let told =
+            if news.is_over { HealthUpdate::Over(left) } else { HealthUpdate::Refusing(left) };
         (UpstreamKey(news.upstream), told)
     };
     let told: HashMap<_, _> = told.iter().take(MAX_TOLD).map(standing).collect();
--- a/crates/gateway/src/upstreams/news.rs
+++ b/crates/gateway/src/upstreams/news.rs
@@ -6,7 +6,7 @@
 use stallhoist_core::MonoTime;
 use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::balance::Fitness;
-use stallhoist_policy::balance::TellableStanding;
+use stallhoist_policy::balance::HealthUpdate;
 use stallhoist_policy::balance::UpstreamKey;
 use stallhoist_policy::balance::WorkByUpstream;
 use stallhoist_policy::balance::WorkInProgress;
@@ -17,7 +17,7 @@
 
 impl Upstreams {
     /// What other entries should know of upstreams that are not well.
-    pub(crate) fn standings(&self, now: MonoTime) -> Vec<(UpstreamKey, TellableStanding)> {
+    pub(crate) fn standings(&self, now: MonoTime) -> Vec<(UpstreamKey, HealthUpdate)> {
         let known = self.known.lock();
         let tellable = known.health.tellable(now);
         tellable.map(|(start, told)| (UpstreamKey::of(start), told)).collect()
@@ -28,7 +28,7 @@
     pub(crate) fn told_standings(
         &self,
         now: MonoTime,
-        told: &HashMap<UpstreamKey, TellableStanding>,
+        told: &HashMap<UpstreamKey, HealthUpdate>,
     ) -> Vec<UpstreamIncarnation> {
         let mut found_over = Vec::new();
         if told.is_empty() {
--- a/crates/policy/src/balance/health/mod.rs
+++ b/crates/policy/src/balance/health/mod.rs
@@ -11,9 +11,9 @@
 
 pub use evidence::Evidence;
 pub use standing::Fitness;
+pub use standing::HealthUpdate;
 pub use standing::PauseRange;
 use standing::Standing;
-pub use standing::TellableStanding;
 
 /// How evidence is weighed.
 #[derive(Debug, Clone)]
@@ -130,7 +130,7 @@
     }
 
     /// Another entry tells what it knows of a start of an upstream.
-    pub fn told(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: TellableStanding) {
+    pub fn told(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: HealthUpdate) {
         let told = told.bounded(&self.config);
         let record = self.by_start.entry(start.clone()).or_default();
         let has_answered = record
@@ -145,7 +145,7 @@
     pub fn tellable(
         &self,
         now: MonoTime,
-    ) -> impl Iterator<Item = (&UpstreamIncarnation, TellableStanding)> {
+    ) -> impl Iterator<Item = (&UpstreamIncarnation, HealthUpdate)> {
         let reached = self.by_start.iter().filter(|(_, record)| !record.is_unreachable);
         reached.filter_map(move |(start, record)| {
             Some((start, record.standing.tellable(now, &self.config)?))
--- a/crates/policy/src/balance/health/standing.rs
+++ b/crates/policy/src/balance/health/standing.rs
@@ -116,32 +116,32 @@
     /// What another entry knows: it is over, or refuses requests, for so much longer. It changes
     /// nothing at one that is known to be as bad, so that what two entries tell each other again
     /// and again comes to an end.
-    pub(super) fn told(self, now: MonoTime, told: TellableStanding) -> Self {
+    pub(super) fn told(self, now: MonoTime, told: HealthUpdate) -> Self {
         if self.fitness(now) >= told.fitness() {
             return self;
         }
         match told {
-            TellableStanding::Over(left) => {
+            HealthUpdate::Over(left) => {
                 Self::Over(Over { since: now, until: now.after(left), in_row: 1 })
             }
-            TellableStanding::Refusing(left) => {
+            HealthUpdate::Refusing(left) => {
                 Self::Resting(Resting { until: now.after(left), in_row: 1 })
             }
         }
     }
 
     /// What other entries should know.
-    pub(super) fn tellable(self, now: MonoTime, config: &HealthConfig) -> Option<TellableStanding> {
+    pub(super) fn tellable(self, now: MonoTime, config: &HealthConfig) -> Option<HealthUpdate> {
         match self {
             Self::Over(over)
                 if now < over.until && now.since(over.since) < config.tell_over_for =>
             {
-                Some(TellableStanding::Over(over.until.since(now)))
+                Some(HealthUpdate::Over(over.until.since(now)))
             }
             Self::Resting(resting)
                 if now < resting.until && resting.in_row >= config.tell_resting_from =>
             {
-                Some(TellableStanding::Refusing(resting.until.since(now)))
+                Some(HealthUpdate::Refusing(resting.until.since(now)))
             }
             _ => None,
         }
@@ -158,14 +158,14 @@
 
 /// What entries tell each other of a start of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TellableStanding {
+pub enum HealthUpdate {
     /// It is over, and is taken for so for this time.
     Over(Duration),
     /// It refuses requests, one after the other, and rests for this time.
     Refusing(Duration),
 }
 
-impl TellableStanding {
+impl HealthUpdate {
     fn fitness(self) -> Fitness {
         match self {
             Self::Over(_) => Fitness::Over,
--- a/tests/all/decisions/health.rs
+++ b/tests/all/decisions/health.rs
@@ -6,7 +6,7 @@
 use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::balance::Evidence;
 use stallhoist_policy::balance::Fitness;
-use stallhoist_policy::balance::TellableStanding;
+use stallhoist_policy::balance::HealthUpdate;
 use stallhoist_policy::balance::UpstreamHealth;
 
 use super::at_ms;
@@ -79,16 +79,16 @@
     assert!(health.failure_rate(at_ms(0), &start("i-1@2000")) < 1e-9);
 }
 
-fn told(health: &UpstreamHealth, now: MonoTime) -> Vec<TellableStanding> {
+fn told(health: &UpstreamHealth, now: MonoTime) -> Vec<HealthUpdate> {
     health.tellable(now).map(|(_, told)| told).collect()
 }
 
-fn over(ms: u64) -> TellableStanding {
-    TellableStanding::Over(Duration::from_millis(ms))
+fn over(ms: u64) -> HealthUpdate {
+    HealthUpdate::Over(Duration::from_millis(ms))
 }
 
-fn refusing(ms: u64) -> TellableStanding {
-    TellableStanding::Refusing(Duration::from_millis(ms))
+fn refusing(ms: u64) -> HealthUpdate {
+    HealthUpdate::Refusing(Duration::from_millis(ms))
 }
 
 #[test]
@@ -141,8 +141,8 @@
 #[test]
 fn absurd_times_are_bounded() {
     let mut health = UpstreamHealth::default();
-    health.told(at_ms(0), &start(), TellableStanding::Over(Duration::MAX));
+    health.told(at_ms(0), &start(), HealthUpdate::Over(Duration::MAX));
     assert_eq!(health.fitness(at_ms(60_000), &start()), Fitness::Well);
-    health.told(at_ms(70_000), &start(), TellableStanding::Refusing(Duration::MAX));
+    health.told(at_ms(70_000), &start(), HealthUpdate::Refusing(Duration::MAX));
     assert_eq!(health.fitness(at_ms(72_000), &start()), Fitness::Well);
 }
