--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -10,7 +10,7 @@
 use futures_util::future::join_all;
 use stallhoist_core::RequestRate;
 use stallhoist_policy::balance::UpstreamKey;
-use stallhoist_policy::named_limits::TellableLimit;
+use stallhoist_policy::named_limits::LimitUpdate;
 use tokio::time::timeout;
 
 use super::connection::ask_once;
@@ -37,8 +37,8 @@
     messages(state.upstreams.all_named_limits(state.now()))
 }
 
-fn messages(limits: Vec<(UpstreamKey, TellableLimit)>) -> Vec<LimitNews> {
-    let message = |(key, told): (UpstreamKey, TellableLimit)| LimitNews {
+fn messages(limits: Vec<(UpstreamKey, LimitUpdate)>) -> Vec<LimitNews> {
+    let message = |(key, told): (UpstreamKey, LimitUpdate)| LimitNews {
         upstream: key.0,
         per_s: told.limit.map(RequestRate::per_s),
         age_ms: u32::try_from(told.age.as_millis()).unwrap_or(u32::MAX),
@@ -74,7 +74,7 @@
         match news.per_s.map(RequestRate::from_per_s).transpose() {
             Ok(limit) => {
                 let age = Duration::from_millis(u64::from(news.age_ms));
-                let told = TellableLimit { limit, age };
+                let told = LimitUpdate { limit, age };
                 let upstream = UpstreamKey(news.upstream);
                 let is_other = state.upstreams.told_limit(state.now(), upstream, told);
                 if is_other && state.decisions.admits(state.now()) {
--- a/crates/gateway/src/upstreams/news.rs
+++ b/crates/gateway/src/upstreams/news.rs
@@ -10,7 +10,7 @@
 use stallhoist_policy::balance::UpstreamKey;
 use stallhoist_policy::balance::WorkByUpstream;
 use stallhoist_policy::balance::WorkInProgress;
-use stallhoist_policy::named_limits::TellableLimit;
+use stallhoist_policy::named_limits::LimitUpdate;
 
 use super::Known;
 use super::Upstreams;
@@ -49,12 +49,12 @@
     }
 
     /// What other entries should know of limits.
-    pub(crate) fn named_limits(&self, now: MonoTime) -> Vec<(UpstreamKey, TellableLimit)> {
+    pub(crate) fn named_limits(&self, now: MonoTime) -> Vec<(UpstreamKey, LimitUpdate)> {
         self.known.lock().limits.tellable(now).collect()
     }
 
     /// The same for one that starts.
-    pub(crate) fn all_named_limits(&self, now: MonoTime) -> Vec<(UpstreamKey, TellableLimit)> {
+    pub(crate) fn all_named_limits(&self, now: MonoTime) -> Vec<(UpstreamKey, LimitUpdate)> {
         self.known.lock().limits.tellable_at_start(now).collect()
     }
 
@@ -63,7 +63,7 @@
         &self,
         now: MonoTime,
         upstream: UpstreamKey,
-        told: TellableLimit,
+        told: LimitUpdate,
     ) -> bool {
         self.known.lock().limits.told(now, upstream, told)
     }
--- a/crates/policy/src/named_limits/mod.rs
+++ b/crates/policy/src/named_limits/mod.rs
@@ -10,5 +10,5 @@
 mod upstreams;
 
 pub use named_limit::NamedLimit;
-pub use record::TellableLimit;
+pub use record::LimitUpdate;
 pub use upstreams::NamedLimits;
--- a/crates/policy/src/named_limits/record.rs
+++ b/crates/policy/src/named_limits/record.rs
@@ -28,7 +28,7 @@
 
 /// What entries tell each other of an upstream's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct TellableLimit {
+pub struct LimitUpdate {
     /// The limit; none when it is over.
     pub limit: Option<RequestRate>,
     /// How long ago it was so.
@@ -65,7 +65,7 @@
         sent >= self.as_of && self.learn(now, sent, None)
     }
 
-    pub(super) fn told(&mut self, now: MonoTime, told: TellableLimit) -> bool {
+    pub(super) fn told(&mut self, now: MonoTime, told: LimitUpdate) -> bool {
         let as_of = now.before(told.age);
         let is_news = if told.limit == self.limit {
             as_of > self.as_of.after(NEWS_AFTER)
@@ -90,7 +90,7 @@
     }
 
     /// One of which nothing was known before another entry told it.
-    pub(super) fn first_told(now: MonoTime, told: TellableLimit) -> Self {
+    pub(super) fn first_told(now: MonoTime, told: LimitUpdate) -> Self {
         let as_of = now.before(told.age);
         Self { limit: told.limit, as_of, learnt: now, told: as_of, ..Self::default() }
     }
@@ -100,8 +100,8 @@
         now.since(self.learnt) < TELL_FOR
     }
 
-    pub(super) fn tellable(&self, now: MonoTime) -> TellableLimit {
-        TellableLimit { limit: self.limit, age: now.since(self.as_of) }
+    pub(super) fn tellable(&self, now: MonoTime) -> LimitUpdate {
+        LimitUpdate { limit: self.limit, age: now.since(self.as_of) }
     }
 
     pub(super) fn limit(&self) -> Option<RequestRate> {
--- a/crates/policy/src/named_limits/upstreams.rs
+++ b/crates/policy/src/named_limits/upstreams.rs
@@ -9,8 +9,8 @@
 use stallhoist_core::UpstreamIncarnation;
 
 use super::named_limit::NamedLimit;
+use super::record::LimitUpdate;
 use super::record::Record;
-use super::record::TellableLimit;
 use crate::balance::UpstreamKey;
 use crate::fleet_bound::Fleet;
 use crate::fleet_bound::SlotAvailability;
@@ -63,7 +63,7 @@
 
     /// Another entry tells what it knows of an upstream, which may not be listed here yet. Says whether
     /// that is another limit.
-    pub fn told(&mut self, now: MonoTime, upstream: UpstreamKey, told: TellableLimit) -> bool {
+    pub fn told(&mut self, now: MonoTime, upstream: UpstreamKey, told: LimitUpdate) -> bool {
         let has_room = self.by_upstream.len() < MAX_TOLD;
         match self.by_upstream.entry(upstream) {
             Entry::Occupied(mut known) => known.get_mut().told(now, told),
@@ -76,7 +76,7 @@
     }
 
     /// What other entries should know: what this one has learnt lately.
-    pub fn tellable(&self, now: MonoTime) -> impl Iterator<Item = (UpstreamKey, TellableLimit)> {
+    pub fn tellable(&self, now: MonoTime) -> impl Iterator<Item = (UpstreamKey, LimitUpdate)> {
         let news = self.by_upstream.iter().filter(move |(_, record)| record.is_news(now));
         news.map(move |(upstream, record)| (*upstream, record.tellable(now)))
     }
@@ -85,7 +85,7 @@
     pub fn tellable_at_start(
         &self,
         now: MonoTime,
-    ) -> impl Iterator<Item = (UpstreamKey, TellableLimit)> {
+    ) -> impl Iterator<Item = (UpstreamKey, LimitUpdate)> {
         let hold = self.by_upstream.iter().filter(|(_, record)| record.limit().is_some());
         hold.map(move |(upstream, record)| (*upstream, record.tellable(now)))
     }
--- a/tests/all/decisions/named_limits.rs
+++ b/tests/all/decisions/named_limits.rs
@@ -10,9 +10,9 @@
 use stallhoist_policy::balance::UpstreamKey;
 use stallhoist_policy::fleet_bound::Fleet;
 use stallhoist_policy::fleet_bound::SlotAvailability;
+use stallhoist_policy::named_limits::LimitUpdate;
 use stallhoist_policy::named_limits::NamedLimit;
 use stallhoist_policy::named_limits::NamedLimits;
-use stallhoist_policy::named_limits::TellableLimit;
 
 use super::at_ms;
 
@@ -85,11 +85,11 @@
     }
 
     /// What it tells others.
-    fn tells(&self, ms: u64) -> Option<TellableLimit> {
+    fn tells(&self, ms: u64) -> Option<LimitUpdate> {
         self.limits.tellable(at(ms)).next().map(|(_, told)| told)
     }
 
-    fn is_told(&mut self, ms: u64, told: TellableLimit) -> bool {
+    fn is_told(&mut self, ms: u64, told: LimitUpdate) -> bool {
         self.limits.told(at(ms), UpstreamKey::of(&start()), told)
     }
 }
@@ -235,14 +235,14 @@
         if let SlotAvailability::OthersUntil(at) = place { at } else { MonoTime::default() }
     };
     let before = until(entry.place(1));
-    entry.is_told(5_000, TellableLimit { limit: Some(rate(0.3)), age: Duration::ZERO });
+    entry.is_told(5_000, LimitUpdate { limit: Some(rate(0.3)), age: Duration::ZERO });
     assert_eq!(until(entry.place(5_000)), before.after(Duration::from_millis(5_000)));
 }
 
 #[test]
 fn one_that_is_told_that_it_is_over_uses_it_in_full() {
     let mut entry = without_a_part();
-    assert!(entry.is_told(900, TellableLimit { limit: None, age: Duration::from_millis(100) }));
+    assert!(entry.is_told(900, LimitUpdate { limit: None, age: Duration::from_millis(100) }));
     assert_eq!(entry.place(900), SlotAvailability::Unbounded);
 }
 
@@ -250,7 +250,7 @@
 fn what_is_told_is_believed_only_if_it_is_later() {
     let mut entry = Entry::of(0, 3);
     entry.names(1_000, 900, 2.2);
-    let over = |age_ms| TellableLimit { limit: None, age: Duration::from_millis(age_ms) };
+    let over = |age_ms| LimitUpdate { limit: None, age: Duration::from_millis(age_ms) };
     assert!(!entry.is_told(1_500, over(500)));
     assert!(entry.is_told(1_500, over(499)));
 }
@@ -258,7 +258,7 @@
 #[test]
 fn an_end_of_what_was_never_named_is_no_news() {
     let mut entry = Entry::of(0, 3);
-    assert!(!entry.is_told(500, TellableLimit { limit: None, age: Duration::ZERO }));
+    assert!(!entry.is_told(500, LimitUpdate { limit: None, age: Duration::ZERO }));
     assert_eq!(entry.tells(500), None);
 }
 
