--- a/crates/gateway/src/peers/usual_times.rs
+++ b/crates/gateway/src/peers/usual_times.rs
@@ -2,7 +2,7 @@
 
 use stallhoist_core::NameError;
 use stallhoist_core::StoreVersion;
-use stallhoist_policy::rollout::KnownTime;
+use stallhoist_policy::rollout::BaselineLatency;
 use stallhoist_policy::rollout::RequestKind;
 use stallhoist_policy::rollout::TimedPart;
 
@@ -58,6 +58,6 @@
         service: news.service.parse()?,
         order_version: StoreVersion::of(news.order_version),
         kind,
-        known: KnownTime { load: news.load, usual_ms: news.usual_ms },
+        known: BaselineLatency { load: news.load, usual_ms: news.usual_ms },
     })
 }
--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -7,8 +7,8 @@
 use stallhoist_core::StoreEra;
 use stallhoist_core::StoreVersion;
 use stallhoist_core::VersionName;
+use stallhoist_policy::rollout::BaselineLatency;
 use stallhoist_policy::rollout::EvidenceTotals;
-use stallhoist_policy::rollout::KnownTime;
 use stallhoist_policy::rollout::Observation;
 use stallhoist_policy::rollout::RequestKind;
 use stallhoist_policy::rollout::RolloutConfig;
@@ -225,7 +225,7 @@
         let Some(order) = self.known.order().filter(|_| self.is_running()) else {
             return Vec::new();
         };
-        let told = |(kind, known): (&RequestKind, KnownTime)| ToldTime {
+        let told = |(kind, known): (&RequestKind, BaselineLatency)| ToldTime {
             service: order.service.clone(),
             order_version: order.row_version,
             kind: kind.clone(),
--- a/crates/gateway/src/rollouts/told_time.rs
+++ b/crates/gateway/src/rollouts/told_time.rs
@@ -4,7 +4,7 @@
 
 use stallhoist_core::ServiceName;
 use stallhoist_core::StoreVersion;
-use stallhoist_policy::rollout::KnownTime;
+use stallhoist_policy::rollout::BaselineLatency;
 use stallhoist_policy::rollout::RequestKind;
 
 /// A usual time of the version that is in force while a roll-out runs.
@@ -17,7 +17,7 @@
     /// The requests that it is the usual time of.
     pub kind: RequestKind,
     /// The time, and the load.
-    pub known: KnownTime,
+    pub known: BaselineLatency,
 }
 
 impl fmt::Display for ToldTime {
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -3,10 +3,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
+use super::BaselineLatency;
 use super::EvidenceStanding;
 use super::EvidenceTest;
 use super::EvidenceTotals;
-use super::KnownTime;
 use super::MeanLoad;
 use super::Observation;
 use super::RequestKind;
@@ -89,12 +89,12 @@
     }
 
     /// The old version's usual times, to be told to others.
-    pub fn known_times(&self) -> impl Iterator<Item = (&RequestKind, KnownTime)> {
+    pub fn known_times(&self) -> impl Iterator<Item = (&RequestKind, BaselineLatency)> {
         self.usual.iter().flat_map(|(kind, usual)| usual.known().map(move |known| (kind, known)))
     }
 
     /// Another entry tells a usual time of the old version.
-    pub fn told_time(&mut self, kind: RequestKind, known: KnownTime) {
+    pub fn told_time(&mut self, kind: RequestKind, known: BaselineLatency) {
         self.usual.entry(kind).or_default().told(known);
     }
 
--- a/crates/policy/src/rollout/mod.rs
+++ b/crates/policy/src/rollout/mod.rs
@@ -34,5 +34,5 @@
 pub use standing::MeanLoad;
 pub use stream_pace::Pace;
 pub use stream_pace::StreamPace;
-pub use usual_time::KnownTime;
+pub use usual_time::BaselineLatency;
 pub use usual_time::UsualTime;
--- a/crates/policy/src/rollout/usual_time.rs
+++ b/crates/policy/src/rollout/usual_time.rs
@@ -22,14 +22,14 @@
 
 /// The usual time at a load, as entries tell each other.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct KnownTime {
+pub struct BaselineLatency {
     /// The load.
     pub load: f64,
     /// The usual time there, in milliseconds.
     pub usual_ms: f64,
 }
 
-impl KnownTime {
+impl BaselineLatency {
     /// No load that is told is greater: 10 minutes of waiting, or as many requests.
     const MAX_LOAD: f64 = 600_000.0;
     /// No time that is told is longer: no request is waited for so long.
@@ -95,14 +95,17 @@
     }
 
     /// What is known, to be told to others.
-    pub fn known(&self) -> impl Iterator<Item = KnownTime> {
+    pub fn known(&self) -> impl Iterator<Item = BaselineLatency> {
         let known = self.levels.values().filter(|level| level.is_known());
-        known.map(|level| KnownTime { load: level.mean_load, usual_ms: level.mean_log_ms.exp() })
+        known.map(|level| BaselineLatency {
+            load: level.mean_load,
+            usual_ms: level.mean_log_ms.exp(),
+        })
     }
 
     /// Another entry tells what is usual. It is believed where too little was seen here, and
     /// counts as little, so that what is seen here soon goes before it.
-    pub fn told(&mut self, known: KnownTime) {
+    pub fn told(&mut self, known: BaselineLatency) {
         if !known.is_credible() {
             return;
         }
--- a/tests/all/decisions/rollout_times.rs
+++ b/tests/all/decisions/rollout_times.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stallhoist_policy::rollout::KnownTime;
+use stallhoist_policy::rollout::BaselineLatency;
 use stallhoist_policy::rollout::Observation;
 use stallhoist_policy::rollout::RequestKind;
 use stallhoist_policy::rollout::RolloutEvidence;
@@ -78,7 +78,9 @@
 fn what_others_tell_is_believed_where_too_little_was_seen() {
     let before = usual(&[2, 40]);
     let mut started = usual(&[40]);
-    for known in before.known().map(|known| KnownTime { usual_ms: known.usual_ms * 0.5, ..known }) {
+    for known in
+        before.known().map(|known| BaselineLatency { usual_ms: known.usual_ms * 0.5, ..known })
+    {
         started.told(known);
     }
     let at_ms = |load| started.at(load).map(|time| time.as_millis());
@@ -89,7 +91,7 @@
 fn what_cannot_be_is_not_believed() {
     let mut usual = UsualTime::default();
     for (load, usual_ms) in [(f64::NAN, 1.0), (1.0, f64::INFINITY), (-1.0, 5.0), (1e12, 5.0)] {
-        usual.told(KnownTime { load, usual_ms });
+        usual.told(BaselineLatency { load, usual_ms });
     }
     assert_eq!(usual.known().count(), 0);
 }
