--- a/crates/gateway/src/peers/usual_times.rs
+++ b/crates/gateway/src/peers/usual_times.rs
@@ -7,7 +7,7 @@
 use stallhoist_policy::rollout::TimedPart;
 
 use super::messages::TimeNews;
-use crate::rollouts::ToldTime;
+use crate::rollouts::BaselineUpdate;
 use crate::state::GatewayState;
 
 /// The most times that are told or taken in at once. Three routes, two models and six loads
@@ -36,7 +36,7 @@
     }
 }
 
-fn news_of(time: ToldTime) -> TimeNews {
+fn news_of(time: BaselineUpdate) -> TimeNews {
     TimeNews {
         service: time.service.to_string(),
         order_version: time.order_version.number,
@@ -48,13 +48,13 @@
     }
 }
 
-fn time_of(news: &TimeNews) -> Result<ToldTime, NameError> {
+fn time_of(news: &TimeNews) -> Result<BaselineUpdate, NameError> {
     let kind = RequestKind {
         route: news.route.as_deref().map(str::parse).transpose()?,
         model: news.model.as_deref().map(str::parse).transpose()?,
         part: if news.is_pause { TimedPart::Pause } else { TimedPart::First },
     };
-    Ok(ToldTime {
+    Ok(BaselineUpdate {
         service: news.service.parse()?,
         order_version: StoreVersion::of(news.order_version),
         kind,
--- a/crates/gateway/src/rollouts/mod.rs
+++ b/crates/gateway/src/rollouts/mod.rs
@@ -11,7 +11,7 @@
 
 pub(crate) use driver::drive;
 pub use state::Rollouts;
-pub use told_time::ToldTime;
+pub use told_time::BaselineUpdate;
 pub use verdict::Ending;
 pub use verdict::Verdict;
 pub use version_rule::ControlRule;
--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -19,9 +19,9 @@
 use stallhoist_policy::rollout::new_version_share;
 use stallhoist_policy::rollout::next_step;
 
+use super::BaselineUpdate;
 use super::ControlRule;
 use super::Ending;
-use super::ToldTime;
 use super::Verdict;
 use super::VersionRule;
 use super::order_and_record::OrderAndRecord;
@@ -221,11 +221,11 @@
     }
 
     /// The old version's usual times, while a roll-out is under way.
-    pub(super) fn known_times(&self) -> Vec<ToldTime> {
+    pub(super) fn known_times(&self) -> Vec<BaselineUpdate> {
         let Some(order) = self.known.order().filter(|_| self.is_running()) else {
             return Vec::new();
         };
-        let told = |(kind, known): (&RequestKind, BaselineLatency)| ToldTime {
+        let told = |(kind, known): (&RequestKind, BaselineLatency)| BaselineUpdate {
             service: order.service.clone(),
             order_version: order.row_version,
             kind: kind.clone(),
@@ -235,7 +235,7 @@
     }
 
     /// Another entry tells a usual time.
-    pub(super) fn told_time(&mut self, time: ToldTime) {
+    pub(super) fn told_time(&mut self, time: BaselineUpdate) {
         if self.is_of_order(time.order_version) {
             self.has_told_times = true;
             self.evidence.told_time(time.kind, time.known);
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -18,7 +18,7 @@
 use stallhoist_policy::rollout::RolloutPhase;
 use stallhoist_policy::rollout::RolloutRecord;
 
-use super::ToldTime;
+use super::BaselineUpdate;
 use super::Verdict;
 use super::VersionRule;
 use super::service_rollout::ServiceRollout;
@@ -172,12 +172,12 @@
     }
 
     /// The old versions' usual times, as far as roll-outs are under way.
-    pub fn known_times(&self) -> Vec<ToldTime> {
+    pub fn known_times(&self) -> Vec<BaselineUpdate> {
         self.services.values().flat_map(ServiceRollout::known_times).collect()
     }
 
     /// Another entry tells a usual time.
-    pub fn told_time(&mut self, time: ToldTime) {
+    pub fn told_time(&mut self, time: BaselineUpdate) {
         if let Some(rollout) = self.services.get_mut(&time.service) {
             rollout.told_time(time);
         }
--- a/crates/gateway/src/rollouts/told_time.rs
+++ b/crates/gateway/src/rollouts/told_time.rs
@@ -9,7 +9,7 @@
 
 /// A usual time of the version that is in force while a roll-out runs.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ToldTime {
+pub struct BaselineUpdate {
     /// The service.
     pub service: ServiceName,
     /// The version of the order's row: times of another roll-out are of another version.
@@ -20,7 +20,7 @@
     pub known: BaselineLatency,
 }
 
-impl fmt::Display for ToldTime {
+impl fmt::Display for BaselineUpdate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let RequestKind { route, model, part } = &self.kind;
         write!(f, "{} {part:?}", self.service)?;
