--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -13,7 +13,7 @@
 use stallhoist_core::Prompt;
 use stallhoist_core::WorkspaceName;
 
-use crate::notice::Notice;
+use crate::upstream_report::UpstreamReport;
 
 /// Which model a caller asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -74,7 +74,7 @@
     /// The model's own opinion of the answer, from 0 to 100.
     pub confidence: Option<u8>,
     /// What the upstream says of itself.
-    pub notice: Notice,
+    pub upstream_report: UpstreamReport,
 }
 
 /// the header {header} is {problem}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -37,7 +37,6 @@
 pub mod log_limit;
 pub mod members;
 mod metrics;
-pub mod notice;
 mod operators;
 pub mod peers;
 pub mod planned_stop;
@@ -50,6 +49,7 @@
 mod state;
 mod tcp;
 mod upstream;
+pub mod upstream_report;
 mod upstreams;
 
 pub use error::GatewayError;
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -24,7 +24,6 @@
 use crate::event_frames::EventBuffer;
 use crate::event_frames::EventFrames;
 use crate::metrics::AttemptResult;
-use crate::notice::Notice;
 use crate::state::GatewayState;
 use crate::upstream::ConnectSettings;
 use crate::upstream::Connection;
@@ -33,6 +32,7 @@
 use crate::upstream::SendError;
 use crate::upstream::connect;
 use crate::upstream::send;
+use crate::upstream_report::UpstreamReport;
 use crate::upstreams::Chosen;
 use crate::upstreams::WorkGuard;
 
@@ -210,8 +210,9 @@
         let head = self.state.dialect.read_reply(&reply.head);
         if self.is_from_chosen(&reply.head, &head) {
             let (upstreams, start) = (&self.state.upstreams, &self.chosen.start);
-            let is_other_limit = upstreams.heard(self.state.now(), start, sent, &head.notice);
-            self.log_notice(&head.notice, is_other_limit);
+            let is_other_limit =
+                upstreams.heard(self.state.now(), start, sent, &head.upstream_report);
+            self.log_notice(&head.upstream_report, is_other_limit);
         }
         if head.is_not_run {
             return AttemptEnd::NotRun(reply.head.status);
@@ -238,8 +239,8 @@
     }
 
     /// What an upstream says of itself that bears on whether it may be used.
-    fn log_notice(&self, notice: &Notice, is_other_limit: bool) {
-        let asks_for_less = notice.is_leaving || notice.rest.is_some();
+    fn log_notice(&self, upstream_report: &UpstreamReport, is_other_limit: bool) {
+        let asks_for_less = upstream_report.is_leaving || upstream_report.rest.is_some();
         if !(asks_for_less || is_other_limit) || !self.state.decisions.admits(self.state.now()) {
             return;
         }
@@ -248,13 +249,13 @@
             log::info!(
                 request = self.call.head.id,
                 instance:% = start,
-                is_leaving = notice.is_leaving,
-                rest:? = notice.rest;
+                is_leaving = upstream_report.is_leaving,
+                rest:? = upstream_report.rest;
                 "an upstream leaves, or asks for rest"
             );
         }
         if is_other_limit {
-            let limit = notice.limit;
+            let limit = upstream_report.limit;
             log::info!(instance:% = start, limit:? = limit; "an upstream's limit has changed");
         }
     }
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/upstream_report.rs
@@ -7,7 +7,7 @@
 
 /// What an upstream says of itself in an answer, whatever it answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Notice {
+pub struct UpstreamReport {
     /// Its load.
     pub load: Option<ReportedLoad>,
     /// How much longer it is cold.
--- a/crates/gateway/src/upstreams/notices.rs
+++ b/crates/gateway/src/upstreams/notices.rs
@@ -5,7 +5,7 @@
 use stallhoist_policy::cold::ReportedCold;
 
 use super::Upstreams;
-use crate::notice::Notice;
+use crate::upstream_report::UpstreamReport;
 
 impl Upstreams {
     /// An upstream has said something of itself, in an answer to a request that was sent then. Says whether
@@ -15,22 +15,22 @@
         now: MonoTime,
         start: &UpstreamIncarnation,
         sent: MonoTime,
-        notice: &Notice,
+        upstream_report: &UpstreamReport,
     ) -> bool {
         let mut known = self.known.lock();
-        if let Some(load) = notice.load {
+        if let Some(load) = upstream_report.load {
             known.load.reported(now, start, load);
         }
-        if let Some(cold) = notice.cold {
+        if let Some(cold) = upstream_report.cold {
             known.cold.told(now, start, ReportedCold::For(cold));
         }
-        if notice.is_leaving {
+        if upstream_report.is_leaving {
             known.directory.says_that_it_leaves(now, start);
         }
-        if let Some(rest) = notice.rest {
+        if let Some(rest) = upstream_report.rest {
             known.rests.asked(now, start, rest);
         }
-        let is_other_limit = known.limits.heard(now, start, sent, notice.limit);
+        let is_other_limit = known.limits.heard(now, start, sent, upstream_report.limit);
         drop(known);
         if is_other_limit {
             self.changed.notify_waiters();
