--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -85,7 +85,7 @@
         let mut pauses = pauses();
         loop {
             let reading = self.store.read(self.feed);
-            match self.state.awakening.uninterrupted(reading).await {
+            match self.state.suspend_recovery.uninterrupted(reading).await {
                 Ok(page) if self.is_believed(page.version) => {
                     self.reached();
                     return page;
@@ -174,7 +174,7 @@
         loop {
             self.wait_until_needed().await;
             let following = self.store.follow(self.feed, after, self.wait());
-            match self.state.awakening.uninterrupted(following).await {
+            match self.state.suspend_recovery.uninterrupted(following).await {
                 Ok(page) => {
                     self.reached();
                     failures = pauses();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,7 +7,7 @@
 //! headers on the wire are the business of a [`dialect::Dialect`]. Gateways share the store,
 //! and in large fleets the news from it.
 //!
-//! - [`awakening`]: what an entry does after its host was suspended
+//! - [`suspend_recovery`]: what an entry does after its host was suspended
 //! - [`routing`]: the routing configuration
 //! - [`members`]: the upstreams that are known
 //! - [`peers`]: news between entries
@@ -24,7 +24,6 @@
 //! - `upstream`: connections to upstreams
 //! - `callers`: the interface to callers
 
-pub mod awakening;
 mod callers;
 pub mod control_store;
 mod decision_log;
@@ -47,6 +46,7 @@
 pub mod routing;
 pub mod sessions;
 mod state;
+pub mod suspend_recovery;
 mod tcp;
 mod upstream;
 pub mod upstream_report;
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -289,7 +289,7 @@
 async fn expire(state: Arc<GatewayState>) {
     loop {
         tokio::time::sleep(EXPIRE_EVERY).await;
-        state.awakening.look();
+        state.suspend_recovery.look();
         let now = state.now();
         state.upstreams.expire(now);
         state.upstreams.look_at_cold(now);
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -127,7 +127,7 @@
     /// Waits until the host wakes up after the request's deadline: timers stand still meanwhile.
     async fn slept_over(&self) {
         loop {
-            self.state.awakening.woken().await;
+            self.state.suspend_recovery.woken().await;
             if self.state.now() >= self.call.deadline {
                 return;
             }
--- a/crates/gateway/src/request/execution/break_off.rs
+++ b/crates/gateway/src/request/execution/break_off.rs
@@ -34,7 +34,7 @@
             state.upstreams.observe(now, start, Evidence::Ended);
             state.fatal.ended(now, self.call.fingerprint(), start);
             state.shown_ended(start);
-        } else if cause.may_show_later() && !state.awakening.is_catching_up() {
+        } else if cause.may_show_later() && !state.suspend_recovery.is_catching_up() {
             state.fatal.broke(state.now(), self.call.fingerprint(), start);
         }
         self.log_break(start, has_ended);
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -23,7 +23,6 @@
 use stallhoist_settings::GatewaySettings;
 use tokio::sync::Notify;
 
-use crate::awakening::Awakening;
 use crate::control_store::Feed;
 use crate::control_store::ListedEntry;
 use crate::decision_log::DecisionLog;
@@ -38,6 +37,7 @@
 use crate::rollouts::Rollouts;
 use crate::routing::RoutingConfig;
 use crate::sessions::Sessions;
+use crate::suspend_recovery::SuspendRecovery;
 use crate::upstreams::Upstreams;
 
 /// A session is remembered for a little longer than it lasts: the caller counts from when
@@ -64,7 +64,7 @@
     pub(crate) copies: FeedCopies,
     pub(crate) metrics: Metrics,
     pub(crate) decisions: DecisionLog,
-    pub(crate) awakening: Awakening,
+    pub(crate) suspend_recovery: SuspendRecovery,
     clock: ProcessClock,
     config: RwLock<Option<Arc<RoutingConfig>>>,
     store_era: AtomicU64,
@@ -104,7 +104,7 @@
             copies: FeedCopies::default(),
             metrics: Metrics::default(),
             decisions: DecisionLog::default(),
-            awakening: Awakening::new(clock.clone()),
+            suspend_recovery: SuspendRecovery::new(clock.clone()),
             clock,
             config: RwLock::new(None),
             store_era: AtomicU64::new(0),
@@ -194,12 +194,12 @@
         let has_lists = self.has_members.load(Ordering::SeqCst)
             && self.has_fatal_requests.load(Ordering::SeqCst)
             && self.has_limits.load(Ordering::SeqCst);
-        has_lists && self.config.read().is_some() && !self.awakening.is_catching_up()
+        has_lists && self.config.read().is_some() && !self.suspend_recovery.is_catching_up()
     }
 
     /// News of a feed came.
     pub(crate) fn heard(&self, feed: Feed) {
-        self.awakening.heard(feed);
+        self.suspend_recovery.heard(feed);
         self.informed.notify_waiters();
     }
 
--- a/crates/gateway/src/awakening.rs
+++ b/crates/gateway/src/suspend_recovery.rs
@@ -56,13 +56,13 @@
 
 /// What an entry does after its host was suspended.
 #[derive(Debug)]
-pub(crate) struct Awakening {
+pub(crate) struct SuspendRecovery {
     clock: ProcessClock,
     shared: Mutex<Shared>,
     woken: Notify,
 }
 
-impl Awakening {
+impl SuspendRecovery {
     pub(crate) fn new(clock: ProcessClock) -> Self {
         Self { clock, shared: Mutex::default(), woken: Notify::new() }
     }
