--- a/crates/gateway/src/callers/handler.rs
+++ b/crates/gateway/src/callers/handler.rs
@@ -94,7 +94,9 @@
     Ok(Call {
         service: config.services.get(&service_name).cloned(),
         service_name,
-        workspace_homes: workspace.as_ref().and_then(|workspace| workspace.homes.clone()),
+        workspace_allowed_regions: workspace
+            .as_ref()
+            .and_then(|workspace| workspace.allowed_regions.clone()),
         workspace: workspace.map(|workspace| workspace.name.clone()),
         priority: own_priority.unwrap_or(route.priority).min(LEAST_URGENT),
         deadline: arrived.after(wait),
--- a/crates/gateway/src/request/call.rs
+++ b/crates/gateway/src/request/call.rs
@@ -14,7 +14,7 @@
 use stallhoist_core::WorkspaceName;
 
 use crate::dialect::CallHead;
-use crate::routing::Homes;
+use crate::routing::AllowedRegions;
 use crate::routing::Route;
 use crate::routing::Service;
 use crate::sessions::SessionKey;
@@ -34,7 +34,7 @@
     pub(crate) service: Option<Arc<Service>>,
     pub(crate) workspace: Option<WorkspaceName>,
     /// Where requests of the workspace may go, besides what the route says.
-    pub(crate) workspace_homes: Option<Homes>,
+    pub(crate) workspace_allowed_regions: Option<AllowedRegions>,
     pub(crate) priority: u8,
     pub(crate) arrived: MonoTime,
     /// When its final answer is due.
--- a/crates/gateway/src/request/execution/choice.rs
+++ b/crates/gateway/src/request/execution/choice.rs
@@ -122,7 +122,10 @@
             body_bytes: self.call.body.len(),
             tie_seed: xxh3_64(self.call.head.id.as_bytes()),
             apart_seed: self.apart_seed,
-            homes: [self.call.route.homes.as_ref(), self.call.workspace_homes.as_ref()],
+            allowed_regions: [
+                self.call.route.allowed_regions.as_ref(),
+                self.call.workspace_allowed_regions.as_ref(),
+            ],
             tried,
             max_connections: service
                 .map_or(u32::MAX, |s| (s.max_connections / CONNECTION_DIVISOR).max(1)),
--- a/crates/gateway/src/routing/homes.rs
+++ b/crates/gateway/src/routing/allowed_regions.rs
@@ -8,9 +8,9 @@
 
 /// The regions that the data of a route or a workspace may go to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Homes(BTreeSet<RegionName>);
+pub struct AllowedRegions(BTreeSet<RegionName>);
 
-impl Homes {
+impl AllowedRegions {
     /// These regions; none when there are none, which bounds nothing.
     pub fn of(regions: impl IntoIterator<Item = RegionName>) -> Option<Self> {
         let regions: BTreeSet<_> = regions.into_iter().collect();
--- a/crates/gateway/src/routing/mod.rs
+++ b/crates/gateway/src/routing/mod.rs
@@ -1,14 +1,14 @@
 //! The routing configuration: which service a request goes to, and under which limits.
 
+mod allowed_regions;
 mod config;
-mod homes;
 mod limits;
 mod route;
 mod service;
 
+pub use allowed_regions::AllowedRegions;
+pub use allowed_regions::RegionsOfZones;
 pub use config::RoutingConfig;
-pub use homes::Homes;
-pub use homes::RegionsOfZones;
 pub use limits::CallerBounds;
 pub use route::Destination;
 pub use route::Repeat;
--- a/crates/gateway/src/routing/route.rs
+++ b/crates/gateway/src/routing/route.rs
@@ -6,7 +6,7 @@
 use stallhoist_core::RouteName;
 use stallhoist_core::ServiceName;
 
-use super::Homes;
+use super::AllowedRegions;
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,7 +56,7 @@
     /// How urgent requests are; 0 is the most urgent.
     pub priority: u8,
     /// Where its requests may go; none where they may go anywhere.
-    pub homes: Option<Homes>,
+    pub allowed_regions: Option<AllowedRegions>,
     /// The models that the system may choose from, the smallest first; none when the
     /// caller's choice stands.
     pub models: Vec<ModelName>,
--- a/crates/gateway/src/routing/service.rs
+++ b/crates/gateway/src/routing/service.rs
@@ -7,7 +7,7 @@
 use stallhoist_core::WorkspaceName;
 use stallhoist_policy::cold::ColdService;
 
-use super::Homes;
+use super::AllowedRegions;
 
 /// A service that routes lead to.
 #[derive(Debug, Clone)]
@@ -42,5 +42,5 @@
     /// Its urgency, which goes before the route's.
     pub priority: Option<u8>,
     /// Where its requests may go; none where they may go anywhere.
-    pub homes: Option<Homes>,
+    pub allowed_regions: Option<AllowedRegions>,
 }
--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -114,8 +114,8 @@
 
     /// Whether the request's data may go to a zone. This holds also when no upstream is left.
     fn is_home(&self, zone: &ZoneName) -> bool {
-        let mut homes = self.placement.homes.iter().flatten();
-        homes.all(|homes| homes.allow(self.regions.get(zone)))
+        let mut allowed_regions = self.placement.allowed_regions.iter().flatten();
+        allowed_regions.all(|allowed_regions| allowed_regions.allow(self.regions.get(zone)))
     }
 
     fn is_usable(&self, filter: &VersionFilter, member: &Member) -> bool {
--- a/crates/gateway/src/upstreams/placement.rs
+++ b/crates/gateway/src/upstreams/placement.rs
@@ -12,7 +12,7 @@
 use stallhoist_policy::balance::WorkItem;
 
 use crate::rollouts::VersionRule;
-use crate::routing::Homes;
+use crate::routing::AllowedRegions;
 
 /// What an upstream is chosen for.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     /// For a request that may end its upstream: by which one it is sent to, the same at all entries.
     pub(crate) apart_seed: Option<u64>,
     /// Where the request may go, by its route and by its workspace: both bind.
-    pub(crate) homes: [Option<&'a Homes>; 2],
+    pub(crate) allowed_regions: [Option<&'a AllowedRegions>; 2],
     /// Upstreams that this request was sent to before.
     pub(crate) tried: &'a [UpstreamIncarnation],
     /// The most connections that this entry keeps to one upstream.
--- a/tests/all/decisions/routing.rs
+++ b/tests/all/decisions/routing.rs
@@ -27,7 +27,7 @@
         target_latency: Duration::from_secs(1),
         target_pause: None,
         priority: 0,
-        homes: None,
+        allowed_regions: None,
         models: Vec::new(),
     })
 }
