--- a/benches/support/cold_world.rs
+++ b/benches/support/cold_world.rs
@@ -218,7 +218,7 @@
         entry.has_heard = true;
         let told = ReportedCold::For(Duration::from_secs_f64(COLD_S));
         for start in &self.starts {
-            entry.cold.told(at(now_s), start, told);
+            entry.cold.record_report(at(now_s), start, told);
         }
     }
 
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -194,7 +194,7 @@
         let mut known = self.known.lock();
         match change {
             Change::MemberListed(member) => {
-                known.cold.told(now, &member.start, member.cold);
+                known.cold.record_report(now, &member.start, member.cold);
                 let superseded = known.directory.listed(now, member);
                 ended = known.are_over(now, superseded);
             }
--- a/crates/gateway/src/upstreams/notices.rs
+++ b/crates/gateway/src/upstreams/notices.rs
@@ -22,7 +22,7 @@
             known.load.reported(now, start, load);
         }
         if let Some(cold) = upstream_report.cold {
-            known.cold.told(now, start, ReportedCold::For(cold));
+            known.cold.record_report(now, start, ReportedCold::For(cold));
         }
         if upstream_report.is_leaving {
             known.directory.says_that_it_leaves(now, start);
--- a/crates/policy/src/cold/record.rs
+++ b/crates/policy/src/cold/record.rs
@@ -46,7 +46,7 @@
         Self { told: ReportedCold::For(Duration::ZERO), ..Self::default() }
     }
 
-    pub(super) fn told(&mut self, now: MonoTime, told: ReportedCold) {
+    pub(super) fn record_report(&mut self, now: MonoTime, told: ReportedCold) {
         self.since = now;
         self.told = told;
         self.back_in_use = None;
--- a/crates/policy/src/cold/upstreams.rs
+++ b/crates/policy/src/cold/upstreams.rs
@@ -33,7 +33,12 @@
 
     /// An upstream has just said how long it is cold, in an answer or by a change of its entry in
     /// the list.
-    pub fn told(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: ReportedCold) {
+    pub fn record_report(
+        &mut self,
+        now: MonoTime,
+        start: &UpstreamIncarnation,
+        told: ReportedCold,
+    ) {
         if self.bound.is_none() {
             return;
         }
@@ -41,7 +46,7 @@
             self.by_start.remove(start);
             return;
         }
-        self.by_start.entry(start.clone()).or_default().told(now, told);
+        self.by_start.entry(start.clone()).or_default().record_report(now, told);
     }
 
     /// An upstream's entry was read, which may be older than what was known: the same words as
@@ -49,7 +54,7 @@
     pub fn read(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: ReportedCold) {
         let known = self.by_start.get(start).map(Record::last_told);
         if known != Some(told) {
-            self.told(now, start, told);
+            self.record_report(now, start, told);
         }
     }
 
--- a/tests/all/decisions/cold.rs
+++ b/tests/all/decisions/cold.rs
@@ -72,7 +72,7 @@
         #[test]
         fn $name() {
             let mut entry = entry(0, 1);
-            entry.cold.told(at(1_000), &start("i-1"), $told);
+            entry.cold.record_report(at(1_000), &start("i-1"), $told);
             let last_cold = 1_000 + $for_ms - 1;
             assert!($for_ms == 0 || place(&entry, last_cold) != SlotAvailability::Unbounded);
             assert_eq!(place(&entry, 1_000 + $for_ms), SlotAvailability::Unbounded);
@@ -108,22 +108,22 @@
 fn the_same_words_read_again_do_not_make_it_cold_once_more() {
     let mut entry = entry(0, 1);
     let told = ReportedCold::For(Duration::from_millis(2_500));
-    entry.cold.told(at(0), &start("i-1"), told);
+    entry.cold.record_report(at(0), &start("i-1"), told);
     entry.cold.read(at(2_000), &start("i-1"), told);
     assert_eq!(place(&entry, 2_500), SlotAvailability::Unbounded);
-    entry.cold.told(at(5_000), &start("i-1"), told);
+    entry.cold.record_report(at(5_000), &start("i-1"), told);
     assert_eq!(place(&entry, 5_000), SlotAvailability::Free);
 }
 
 #[test]
 fn one_that_is_taken_back_into_use_may_have_turned_cold() {
     let mut entry = entry(0, 1);
-    entry.cold.told(at(0), &start("i-1"), ReportedCold::For(Duration::ZERO));
+    entry.cold.record_report(at(0), &start("i-1"), ReportedCold::For(Duration::ZERO));
     entry.cold.is_back_in_use(at(9_000), &start("i-1"));
     assert_eq!(place(&entry, 11_999), SlotAvailability::Free);
     assert_eq!(place(&entry, 12_000), SlotAvailability::Unbounded);
     entry.cold.is_back_in_use(at(20_000), &start("i-1"));
-    entry.cold.told(at(20_100), &start("i-1"), ReportedCold::For(Duration::ZERO));
+    entry.cold.record_report(at(20_100), &start("i-1"), ReportedCold::For(Duration::ZERO));
     assert_eq!(place(&entry, 20_100), SlotAvailability::Unbounded);
 }
 
@@ -131,14 +131,14 @@
 fn without_a_bound_nothing_is_cold() {
     let mut entry = entry(0, 1);
     entry.cold = ColdUpstreams::new(None);
-    entry.cold.told(at(0), &start("i-1"), ReportedCold::Unsaid);
+    entry.cold.record_report(at(0), &start("i-1"), ReportedCold::Unsaid);
     assert_eq!(place(&entry, 0), SlotAvailability::Unbounded);
 }
 
 #[test]
 fn a_single_entry_sends_what_is_borne_and_then_waits() {
     let mut entry = entry(0, 1);
-    entry.cold.told(at(0), &start("i-1"), ReportedCold::Unsaid);
+    entry.cold.record_report(at(0), &start("i-1"), ReportedCold::Unsaid);
     for _ in 0..28 {
         assert_eq!(place(&entry, 100), SlotAvailability::Free);
         entry.cold.sent(at(100), &start("i-1"));
@@ -151,7 +151,7 @@
 #[test]
 fn an_entry_that_is_new_sends_nothing_until_the_others_count_it() {
     let mut entry = Entry::knowing(7, 0);
-    entry.cold.told(at(0), &start("i-1"), ReportedCold::For(Duration::from_secs(20)));
+    entry.cold.record_report(at(0), &start("i-1"), ReportedCold::For(Duration::from_secs(20)));
     let others = SlotAvailability::OthersUntil(at(20_000));
     assert_eq!(place(&entry, 100), others);
     (0..3).for_each(|other| entry.fleet.listed(host(other)));
@@ -167,7 +167,7 @@
 fn an_entry_that_starts_again_sends_at_once() {
     let mut entry = entry(2, 3);
     entry.fleet.announces_itself(at(200));
-    entry.cold.told(at(200), &start("i-1"), ReportedCold::Unsaid);
+    entry.cold.record_report(at(200), &start("i-1"), ReportedCold::Unsaid);
     assert_eq!(place(&entry, 200), SlotAvailability::Free);
 }
 
@@ -175,7 +175,7 @@
 #[test]
 fn an_entry_that_has_just_started_sends_nothing_in_its_first_second() {
     let mut entry = entry(2, 3);
-    entry.cold.told(at_ms(0), &start("i-1"), ReportedCold::Unsaid);
+    entry.cold.record_report(at_ms(0), &start("i-1"), ReportedCold::Unsaid);
     let place = |ms| entry.place(at_ms(ms), &start("i-1"));
     assert_eq!(place(1_099), SlotAvailability::OthersUntil(at_ms(3_000)));
     assert_eq!(place(1_100), SlotAvailability::Free);
@@ -186,7 +186,7 @@
     let sent_by = |number: usize| {
         let mut entry = Entry::knowing(number, known(number));
         let start = start(upstream);
-        entry.cold.told(at(0), &start, ReportedCold::Unsaid);
+        entry.cold.record_report(at(0), &start, ReportedCold::Unsaid);
         let mut sent = 0;
         while entry.place(at(1), &start) == SlotAvailability::Free {
             entry.cold.sent(at(1), &start);
@@ -244,7 +244,7 @@
     #[test]
     fn no_second_has_more_than_the_share(gaps_ms in proptest::collection::vec(0_u64..200, 200)) {
         let mut entry = entry(0, 3);
-        entry.cold.told(at(0), &start("i-1"), ReportedCold::For(Duration::from_secs(60)));
+        entry.cold.record_report(at(0), &start("i-1"), ReportedCold::For(Duration::from_secs(60)));
         let mut now_ms = 0;
         let mut sent: Vec<MonoTime> = Vec::new();
         for gap_ms in gaps_ms {
