--- a/crates/gateway/src/peers/work_news.rs
+++ b/crates/gateway/src/peers/work_news.rs
@@ -98,7 +98,7 @@
             ..Ask::default()
         };
         let mut items = 0;
-        for (host, addr) in self.told() {
+        for (host, addr) in self.push_targets() {
             items += news.len() + ask.limits.len() + self.tell(host, addr, &ask).await;
         }
         items
@@ -107,7 +107,7 @@
     /// Whom this entry tells: the others that follow the store if it does so itself, else the first
     /// of those it asks that answers. With the very first one only, an entry whose relay was gone told
     /// nobody, and was told nothing, for as long as that one stayed listed.
-    fn told(&self) -> Vec<(HostId, SocketAddr)> {
+    fn push_targets(&self) -> Vec<(HostId, SocketAddr)> {
         let peers = self.state.peers.lock();
         let answers = |(_, addr): &(HostId, SocketAddr)| !self.skipped_until.contains_key(addr);
         let relays = peers.other_relays();
