--- a/benches/support/ends_world.rs
+++ b/benches/support/ends_world.rs
@@ -187,7 +187,7 @@
                 self.tell(entry, &requests.into_iter().map(news).collect::<Vec<_>>());
             }
             Event::Told(entry, news) => {
-                self.books[entry].told(self.now, news);
+                self.books[entry].apply_peer_update(self.now, news);
             }
             Event::Stored(entry, print, Some((version, record))) => {
                 self.books[entry].stored(self.now, print, version, record);
--- a/crates/gateway/src/fatal/book.rs
+++ b/crates/gateway/src/fatal/book.rs
@@ -132,8 +132,8 @@
     }
 
     /// Other entries tell of ends.
-    pub(crate) fn told(&self, now: MonoTime, news: impl Iterator<Item = CrashUpdate>) {
-        let new = self.change(|requests| requests.told(now, news));
+    pub(crate) fn apply_peer_update(&self, now: MonoTime, news: impl Iterator<Item = CrashUpdate>) {
+        let new = self.change(|requests| requests.apply_peer_update(now, news));
         if new > 0 {
             self.has_news.notify_one();
         }
--- a/crates/gateway/src/peers/ends.rs
+++ b/crates/gateway/src/peers/ends.rs
@@ -45,5 +45,5 @@
     };
     let readable: Vec<_> = told.iter().take(MAX_TOLD).filter_map(news).collect();
     state.fatal.left_out(state.now(), told.len() - readable.len());
-    state.fatal.told(state.now(), readable.into_iter());
+    state.fatal.apply_peer_update(state.now(), readable.into_iter());
 }
--- a/crates/gateway/src/peers/evidence.rs
+++ b/crates/gateway/src/peers/evidence.rs
@@ -45,7 +45,7 @@
     let now = state.now();
     for session in sessions {
         match session.kept() {
-            Ok(kept) => state.sessions.lock().told(now, kept),
+            Ok(kept) => state.sessions.lock().apply_peer_update(now, kept),
             Err(error) => {
                 log::warn!(error:% = error; "a session of no service or version ignored");
             }
--- a/crates/gateway/src/peers/verdicts.rs
+++ b/crates/gateway/src/peers/verdicts.rs
@@ -25,7 +25,11 @@
             Ok(service) => {
                 let order_version = StoreVersion::of(news.order_version);
                 let ending = if news.is_completed { Ending::Completed } else { Ending::Bad };
-                state.rollouts.lock().told(&Verdict { service, order_version, ending });
+                state.rollouts.lock().apply_peer_update(&Verdict {
+                    service,
+                    order_version,
+                    ending,
+                });
             }
             Err(error) => {
                 log::warn!(service = news.service, error:% = error; "verdict on no service ignored");
--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -257,7 +257,7 @@
     }
 
     /// Another entry knows how the roll-out ends.
-    pub(super) fn told(&mut self, verdict: &Verdict) {
+    pub(super) fn apply_peer_update(&mut self, verdict: &Verdict) {
         if !self.is_of_order(verdict.order_version) {
             return;
         }
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -193,9 +193,9 @@
     /// started after the evidence was seen would complete the roll-out. That it is completed
     /// counts for an entry that does not reach the store: it would go on sending requests to
     /// the old version, which is gone.
-    pub fn told(&mut self, verdict: &Verdict) {
+    pub fn apply_peer_update(&mut self, verdict: &Verdict) {
         if let Some(rollout) = self.services.get_mut(&verdict.service) {
-            rollout.told(verdict);
+            rollout.apply_peer_update(verdict);
         }
     }
 
--- a/crates/gateway/src/sessions.rs
+++ b/crates/gateway/src/sessions.rs
@@ -98,7 +98,7 @@
     }
 
     /// Another entry tells of a session. What this entry knows of later use goes before.
-    pub fn told(&mut self, now: MonoTime, told: KeptSession) {
+    pub fn apply_peer_update(&mut self, now: MonoTime, told: KeptSession) {
         let last_used = now.before(told.idle);
         let known = self.by_session.get(&(told.service.clone(), told.key));
         if known.is_some_and(|known| known.last_used >= last_used) {
--- a/crates/gateway/src/upstreams/news.rs
+++ b/crates/gateway/src/upstreams/news.rs
@@ -39,7 +39,7 @@
             let start = &member.start;
             if let Some(told) = told.get(&UpstreamKey::of(start)) {
                 let before = health.fitness(now, start);
-                health.told(now, start, *told);
+                health.apply_peer_update(now, start, *told);
                 if before < Fitness::Over && health.fitness(now, start) == Fitness::Over {
                     found_over.push(start.clone());
                 }
@@ -65,7 +65,7 @@
         upstream: UpstreamKey,
         told: LimitUpdate,
     ) -> bool {
-        self.known.lock().limits.told(now, upstream, told)
+        self.known.lock().limits.apply_peer_update(now, upstream, told)
     }
 
     /// This entry's work in progress, and what the entries that are `included` told of theirs:
@@ -87,7 +87,7 @@
         host: HostId,
         work: impl IntoIterator<Item = (UpstreamKey, WorkInProgress)>,
     ) {
-        self.known.lock().fleet_work.told(now, host, work);
+        self.known.lock().fleet_work.apply_peer_update(now, host, work);
     }
 
     /// Drops what other entries told too long ago.
--- a/crates/policy/src/balance/fleet_work.rs
+++ b/crates/policy/src/balance/fleet_work.rs
@@ -85,7 +85,7 @@
 
 impl FleetWork {
     /// An entry tells its work, in place of what it told before.
-    pub fn told(
+    pub fn apply_peer_update(
         &mut self,
         now: MonoTime,
         host: HostId,
--- a/crates/policy/src/balance/health/mod.rs
+++ b/crates/policy/src/balance/health/mod.rs
@@ -130,14 +130,19 @@
     }
 
     /// Another entry tells what it knows of a start of an upstream.
-    pub fn told(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: HealthUpdate) {
+    pub fn apply_peer_update(
+        &mut self,
+        now: MonoTime,
+        start: &UpstreamIncarnation,
+        told: HealthUpdate,
+    ) {
         let told = told.bounded(&self.config);
         let record = self.by_start.entry(start.clone()).or_default();
         let has_answered = record
             .answered
             .is_some_and(|answered| now.since(answered) < self.config.trust_own_answer_for);
         if !has_answered {
-            record.standing = record.standing.told(now, told);
+            record.standing = record.standing.apply_peer_update(now, told);
         }
     }
 
--- a/crates/policy/src/balance/health/standing.rs
+++ b/crates/policy/src/balance/health/standing.rs
@@ -116,7 +116,7 @@
     /// What another entry knows: it is over, or refuses requests, for so much longer. It changes
     /// nothing at one that is known to be as bad, so that what two entries tell each other again
     /// and again comes to an end.
-    pub(super) fn told(self, now: MonoTime, told: HealthUpdate) -> Self {
+    pub(super) fn apply_peer_update(self, now: MonoTime, told: HealthUpdate) -> Self {
         if self.fitness(now) >= told.fitness() {
             return self;
         }
--- a/crates/policy/src/fatal/mod.rs
+++ b/crates/policy/src/fatal/mod.rs
@@ -177,7 +177,11 @@
 
     /// Another entry tells of ends. Gives how many of them are new. All are judged together, once: in a
     /// time of many ends a message has tens of them, which concern each other.
-    pub fn told(&mut self, now: MonoTime, news: impl IntoIterator<Item = CrashUpdate>) -> usize {
+    pub fn apply_peer_update(
+        &mut self,
+        now: MonoTime,
+        news: impl IntoIterator<Item = CrashUpdate>,
+    ) -> usize {
         let mut concerned = Vec::new();
         let mut new = 0;
         for news in news {
--- a/crates/policy/src/named_limits/record.rs
+++ b/crates/policy/src/named_limits/record.rs
@@ -65,7 +65,7 @@
         sent >= self.as_of && self.learn(now, sent, None)
     }
 
-    pub(super) fn told(&mut self, now: MonoTime, told: LimitUpdate) -> bool {
+    pub(super) fn apply_peer_update(&mut self, now: MonoTime, told: LimitUpdate) -> bool {
         let as_of = now.before(told.age);
         let is_news = if told.limit == self.limit {
             as_of > self.as_of.after(NEWS_AFTER)
--- a/crates/policy/src/named_limits/upstreams.rs
+++ b/crates/policy/src/named_limits/upstreams.rs
@@ -63,10 +63,15 @@
 
     /// Another entry tells what it knows of an upstream, which may not be listed here yet. Says whether
     /// that is another limit.
-    pub fn told(&mut self, now: MonoTime, upstream: UpstreamKey, told: LimitUpdate) -> bool {
+    pub fn apply_peer_update(
+        &mut self,
+        now: MonoTime,
+        upstream: UpstreamKey,
+        told: LimitUpdate,
+    ) -> bool {
         let has_room = self.by_upstream.len() < MAX_TOLD;
         match self.by_upstream.entry(upstream) {
-            Entry::Occupied(mut known) => known.get_mut().told(now, told),
+            Entry::Occupied(mut known) => known.get_mut().apply_peer_update(now, told),
             Entry::Vacant(new) if told.limit.is_some() && has_room => {
                 new.insert(Record::first_told(now, told));
                 true
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -95,7 +95,7 @@
 
     /// Another entry tells a usual time of the old version.
     pub fn told_time(&mut self, kind: RequestKind, known: BaselineLatency) {
-        self.usual.entry(kind).or_default().told(known);
+        self.usual.entry(kind).or_default().apply_peer_update(known);
     }
 
     /// Another entry has counted these, which were not counted here before.
--- a/crates/policy/src/rollout/usual_time.rs
+++ b/crates/policy/src/rollout/usual_time.rs
@@ -105,7 +105,7 @@
 
     /// Another entry tells what is usual. It is believed where too little was seen here, and
     /// counts as little, so that what is seen here soon goes before it.
-    pub fn told(&mut self, known: BaselineLatency) {
+    pub fn apply_peer_update(&mut self, known: BaselineLatency) {
         if !known.is_credible() {
             return;
         }
--- a/tests/all/decisions/fatal.rs
+++ b/tests/all/decisions/fatal.rs
@@ -117,7 +117,7 @@
     let mut requests = after(&[1, 2, 3].map(|upstream| (BYSTANDER, upstream)));
     assert!(is_held(&requests, BYSTANDER));
     for upstream in 1..=4 {
-        requests.told(at_ms(1), [news(FATAL, upstream, false)]);
+        requests.apply_peer_update(at_ms(1), [news(FATAL, upstream, false)]);
     }
     assert!(is_held(&requests, FATAL));
     assert_eq!(verdict(&requests, BYSTANDER), Verdict::Suspect);
@@ -138,7 +138,7 @@
     assert!(requests.answered(at_ms(1), request(BYSTANDER)));
     assert_eq!(verdict(&requests, BYSTANDER), Verdict::Free);
     // Others still tell of the ends, which are no news.
-    assert_eq!(requests.told(at_ms(2), [news(BYSTANDER, 3, false)]), 0);
+    assert_eq!(requests.apply_peer_update(at_ms(2), [news(BYSTANDER, 3, false)]), 0);
     assert_eq!(verdict(&requests, BYSTANDER), Verdict::Free);
     requests.ended(at_ms(3), request(BYSTANDER), UpstreamKey(4));
     assert_eq!(verdict(&requests, BYSTANDER), Verdict::Suspect);
@@ -148,7 +148,7 @@
 fn a_whole_answer_elsewhere_clears_a_request_here() {
     let mut requests = after(&[1, 2, 3].map(|upstream| (BYSTANDER, upstream)));
     for upstream in 1..=3 {
-        assert_eq!(requests.told(at_ms(1), [news(BYSTANDER, upstream, true)]), 1);
+        assert_eq!(requests.apply_peer_update(at_ms(1), [news(BYSTANDER, upstream, true)]), 1);
     }
     assert_eq!(verdict(&requests, BYSTANDER), Verdict::Free);
 }
@@ -157,7 +157,7 @@
 #[test]
 fn an_end_that_does_not_count_clears_nothing_that_is_known_by_its_row() {
     let mut requests = stored(0);
-    assert_eq!(requests.told(at_ms(1), [news(FATAL, 1, true)]), 1);
+    assert_eq!(requests.apply_peer_update(at_ms(1), [news(FATAL, 1, true)]), 1);
     assert!(matches!(requests.verdict(at_ms(2), request(FATAL)), Verdict::HeldBack { .. }));
 }
 
@@ -304,7 +304,7 @@
         let told = |ends: &[(u32, u64, bool)]| {
             let mut requests = FatalRequests::default();
             for (n, upstream, is_cleared) in ends {
-                requests.told(at_ms(0), [news(*n, *upstream, *is_cleared)]);
+                requests.apply_peer_update(at_ms(0), [news(*n, *upstream, *is_cleared)]);
             }
             (0..6).map(|n| verdict(&requests, n)).collect::<Vec<_>>()
         };
--- a/tests/all/decisions/fleet_work.rs
+++ b/tests/all/decisions/fleet_work.rs
@@ -25,8 +25,12 @@
 #[test]
 fn the_work_of_all_others_adds_up() {
     let mut fleet = FleetWork::default();
-    fleet.told(at_ms(0), host(1), [(upstream(1), work(2, 300))]);
-    fleet.told(at_ms(10), host(2), [(upstream(1), work(1, 50)), (upstream(2), work(4, 0))]);
+    fleet.apply_peer_update(at_ms(0), host(1), [(upstream(1), work(2, 300))]);
+    fleet.apply_peer_update(
+        at_ms(10),
+        host(2),
+        [(upstream(1), work(1, 50)), (upstream(2), work(4, 0))],
+    );
     assert_eq!(fleet.on(upstream(1)), work(3, 350));
     assert_eq!(fleet.on(upstream(2)), work(4, 0));
     assert_eq!(fleet.on(upstream(3)), WorkInProgress::default());
@@ -35,8 +39,8 @@
 #[test]
 fn what_an_entry_tells_replaces_what_it_told() {
     let mut fleet = FleetWork::default();
-    fleet.told(at_ms(0), host(1), [(upstream(1), work(2, 300))]);
-    fleet.told(at_ms(200), host(1), [(upstream(2), work(1, 10))]);
+    fleet.apply_peer_update(at_ms(0), host(1), [(upstream(1), work(2, 300))]);
+    fleet.apply_peer_update(at_ms(200), host(1), [(upstream(2), work(1, 10))]);
     assert_eq!(fleet.on(upstream(1)), WorkInProgress::default());
     assert_eq!(fleet.on(upstream(2)), work(1, 10));
 }
@@ -44,8 +48,8 @@
 #[test]
 fn an_entry_that_falls_silent_is_soon_not_believed() {
     let mut fleet = FleetWork::default();
-    fleet.told(at_ms(0), host(1), [(upstream(1), work(2, 300))]);
-    fleet.told(at_ms(900), host(2), [(upstream(1), work(1, 100))]);
+    fleet.apply_peer_update(at_ms(0), host(1), [(upstream(1), work(2, 300))]);
+    fleet.apply_peer_update(at_ms(900), host(2), [(upstream(1), work(1, 100))]);
     fleet.expire(at_ms(999));
     assert_eq!(fleet.on(upstream(1)), work(3, 400));
     fleet.expire(at_ms(1_000));
@@ -55,8 +59,8 @@
 #[test]
 fn the_work_of_some_entries_is_summed() {
     let mut fleet = FleetWork::default();
-    fleet.told(at_ms(0), host(1), [(upstream(1), work(2, 300))]);
-    fleet.told(at_ms(0), host(2), [(upstream(1), work(5, 0))]);
+    fleet.apply_peer_update(at_ms(0), host(1), [(upstream(1), work(2, 300))]);
+    fleet.apply_peer_update(at_ms(0), host(2), [(upstream(1), work(5, 0))]);
     let mut sum = WorkByUpstream::from([(upstream(1), work(1, 1))]);
     fleet.add_to(&mut sum, |host_told| *host_told == host(1));
     assert_eq!(sum[&upstream(1)], work(3, 301));
@@ -68,11 +72,11 @@
         #[test]
         fn $name() {
             let mut fleet = FleetWork::default();
-            fleet.told(at_ms(0), host(1), $told);
-            fleet.told(at_ms(0), host(2), [(upstream(1), work(1, 1))]);
+            fleet.apply_peer_update(at_ms(0), host(1), $told);
+            fleet.apply_peer_update(at_ms(0), host(2), [(upstream(1), work(1, 1))]);
             let believed = fleet.on(upstream(1));
             assert!(believed.requests <= 10_001 && believed.reading_ms <= 60_001, "{believed:?}");
-            fleet.told(at_ms(1), host(1), []);
+            fleet.apply_peer_update(at_ms(1), host(1), []);
             assert_eq!(fleet.on(upstream(1)), work(1, 1));
         }
     };
--- a/tests/all/decisions/health.rs
+++ b/tests/all/decisions/health.rs
@@ -113,7 +113,7 @@
 #[test]
 fn what_is_told_is_believed_and_told_on() {
     let mut health = UpstreamHealth::default();
-    health.told(at_ms(0), &start(), over(8_000));
+    health.apply_peer_update(at_ms(0), &start(), over(8_000));
     assert_eq!(health.fitness(at_ms(7_999), &start()), Fitness::Over);
     assert_eq!(health.fitness(at_ms(8_000), &start()), Fitness::Well);
     assert_eq!(told(&health, at_ms(500)), [over(7_500)]);
@@ -123,7 +123,7 @@
 fn what_is_told_again_and_again_comes_to_an_end() {
     let mut health = UpstreamHealth::default();
     for ms in (0..8_000).step_by(200) {
-        health.told(at_ms(ms), &start(), over(8_000 - ms));
+        health.apply_peer_update(at_ms(ms), &start(), over(8_000 - ms));
     }
     assert_eq!(told(&health, at_ms(3_000)), []);
     assert_eq!(health.fitness(at_ms(7_900), &start()), Fitness::Over);
@@ -132,17 +132,17 @@
 #[test]
 fn what_was_answered_here_goes_before_what_is_told() {
     let mut health = after(&[Evidence::Answered]);
-    health.told(at_ms(999), &start(), over(8_000));
+    health.apply_peer_update(at_ms(999), &start(), over(8_000));
     assert_eq!(health.fitness(at_ms(999), &start()), Fitness::Well);
-    health.told(at_ms(1_000), &start(), over(8_000));
+    health.apply_peer_update(at_ms(1_000), &start(), over(8_000));
     assert_eq!(health.fitness(at_ms(1_000), &start()), Fitness::Over);
 }
 
 #[test]
 fn absurd_times_are_bounded() {
     let mut health = UpstreamHealth::default();
-    health.told(at_ms(0), &start(), HealthUpdate::Over(Duration::MAX));
+    health.apply_peer_update(at_ms(0), &start(), HealthUpdate::Over(Duration::MAX));
     assert_eq!(health.fitness(at_ms(60_000), &start()), Fitness::Well);
-    health.told(at_ms(70_000), &start(), HealthUpdate::Refusing(Duration::MAX));
+    health.apply_peer_update(at_ms(70_000), &start(), HealthUpdate::Refusing(Duration::MAX));
     assert_eq!(health.fitness(at_ms(72_000), &start()), Fitness::Well);
 }
--- a/tests/all/decisions/named_limits.rs
+++ b/tests/all/decisions/named_limits.rs
@@ -90,7 +90,7 @@
     }
 
     fn is_told(&mut self, ms: u64, told: LimitUpdate) -> bool {
-        self.limits.told(at(ms), UpstreamKey::of(&start()), told)
+        self.limits.apply_peer_update(at(ms), UpstreamKey::of(&start()), told)
     }
 }
 
--- a/tests/all/decisions/rollout_rules.rs
+++ b/tests/all/decisions/rollout_rules.rs
@@ -267,7 +267,7 @@
 #[test]
 fn a_verdict_of_another_entry_counts_at_one_that_has_seen_nothing() {
     let mut rollouts = rollouts(SHIFTING);
-    rollouts.told(&verdict(10, Ending::Bad));
+    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
     assert_eq!(rule(&rollouts, 0.01, None).wanted, old());
     let due = rollouts.due(at_ms(30_000));
     assert_eq!(due.len(), 1);
@@ -278,10 +278,10 @@
 #[test]
 fn a_verdict_on_another_order_does_not_count() {
     let mut rollouts = rollouts(SHIFTING);
-    rollouts.told(&verdict(9, Ending::Bad));
-    rollouts.told(&verdict(9, Ending::Completed));
+    rollouts.apply_peer_update(&verdict(9, Ending::Bad));
+    rollouts.apply_peer_update(&verdict(9, Ending::Completed));
     assert_eq!(rule(&rollouts, 0.01, None).wanted, new());
-    rollouts.told(&verdict(10, Ending::Bad));
+    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
     rollouts.ordered(order(12));
     assert_eq!(rollouts.verdicts(), [], "a new order begins without a verdict");
 }
@@ -289,7 +289,7 @@
 #[test]
 fn a_verdict_is_told_until_it_is_stored() {
     let mut rollouts = rollouts(RolloutPhase::Canary);
-    rollouts.told(&verdict(10, Ending::Bad));
+    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
     assert_eq!(rollouts.verdicts().len(), 1);
     rollouts.stored(stored(RolloutPhase::RolledBack, 12));
     assert_eq!(rollouts.verdicts(), []);
@@ -300,7 +300,7 @@
 #[test]
 fn a_version_that_is_completed_cannot_be_found_bad() {
     let mut rollouts = rollouts(RolloutPhase::Completed);
-    rollouts.told(&verdict(10, Ending::Bad));
+    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
     assert_eq!(rule(&rollouts, 0.99, None).wanted, new());
     assert_eq!(rollouts.verdicts(), [verdict(10, Ending::Completed)]);
 }
@@ -308,8 +308,8 @@
 #[test]
 fn an_entry_that_does_not_reach_the_store_is_told_of_the_completion() {
     let mut rollouts = rollouts(SHIFTING);
-    rollouts.told(&verdict(10, Ending::Bad));
-    rollouts.told(&verdict(10, Ending::Completed));
+    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
+    rollouts.apply_peer_update(&verdict(10, Ending::Completed));
     let rule = rule(&rollouts, 0.99, None);
     assert_eq!((rule.wanted, rule.otherwise), (new(), Some(VersionFilter::Any)));
     assert!(rollouts.due(at_ms(30_000)).is_empty(), "there is nothing left to store");
--- a/tests/all/decisions/rollout_times.rs
+++ b/tests/all/decisions/rollout_times.rs
@@ -81,7 +81,7 @@
     for known in
         before.known().map(|known| BaselineLatency { usual_ms: known.usual_ms * 0.5, ..known })
     {
-        started.told(known);
+        started.apply_peer_update(known);
     }
     let at_ms = |load| started.at(load).map(|time| time.as_millis());
     assert_eq!((at_ms(2), at_ms(40)), (Some(12), Some(100)));
@@ -91,7 +91,7 @@
 fn what_cannot_be_is_not_believed() {
     let mut usual = UsualTime::default();
     for (load, usual_ms) in [(f64::NAN, 1.0), (1.0, f64::INFINITY), (-1.0, 5.0), (1e12, 5.0)] {
-        usual.told(BaselineLatency { load, usual_ms });
+        usual.apply_peer_update(BaselineLatency { load, usual_ms });
     }
     assert_eq!(usual.known().count(), 0);
 }
--- a/tests/all/decisions/sessions.rs
+++ b/tests/all/decisions/sessions.rs
@@ -28,7 +28,7 @@
         version: old,
         idle: Duration::from_millis(499),
     };
-    sessions.told(at_ms(1_500), told_back);
+    sessions.apply_peer_update(at_ms(1_500), told_back);
     let kept = sessions.kept_from(at_ms(1_600), &service, &new, 0.03, SessionScope::Own);
     assert_eq!(kept.len(), 1, "it is still this entry's to tell");
 }
--- a/tests/all/decisions/store_return_model.rs
+++ b/tests/all/decisions/store_return_model.rs
@@ -242,7 +242,7 @@
         };
         let order_version = self.version(number);
         let verdict = Verdict { service: service(), order_version, ending: Ending::Bad };
-        self.entries[entry].told(&verdict);
+        self.entries[entry].apply_peer_update(&verdict);
     }
 
     /// The end that the lasting entry has come to go by is the one that it goes by ever after.
