--- a/crates/gateway/src/fatal/book.rs
+++ b/crates/gateway/src/fatal/book.rs
@@ -171,8 +171,8 @@
     }
 
     /// What an entry should know that has just started.
-    pub(crate) fn tellable_at_start(&self) -> Vec<CrashUpdate> {
-        self.requests.lock().tellable_at_start().collect()
+    pub(crate) fn startup_peer_updates(&self) -> Vec<CrashUpdate> {
+        self.requests.lock().startup_peer_updates().collect()
     }
 
     /// Changes what is known. It is in use from the first time on that something is.
--- a/crates/gateway/src/peers/ends.rs
+++ b/crates/gateway/src/peers/ends.rs
@@ -19,7 +19,7 @@
 
 /// All that this entry knows.
 pub(super) fn all_ends(state: &GatewayState) -> Vec<EndOf> {
-    messages(state.fatal.tellable_at_start())
+    messages(state.fatal.startup_peer_updates())
 }
 
 fn messages(ends: Vec<CrashUpdate>) -> Vec<EndOf> {
--- a/crates/gateway/src/upstreams/news.rs
+++ b/crates/gateway/src/upstreams/news.rs
@@ -55,7 +55,7 @@
 
     /// The same for one that starts.
     pub(crate) fn all_named_limits(&self, now: MonoTime) -> Vec<(UpstreamKey, LimitUpdate)> {
-        self.known.lock().limits.tellable_at_start(now).collect()
+        self.known.lock().limits.startup_peer_updates(now).collect()
     }
 
     /// Another entry tells what it knows of a limit. Says whether that is another one than before.
--- a/crates/policy/src/fatal/mod.rs
+++ b/crates/policy/src/fatal/mod.rs
@@ -358,7 +358,7 @@
     }
 
     /// What an entry should know that has just started.
-    pub fn tellable_at_start(&self) -> impl Iterator<Item = CrashUpdate> {
+    pub fn startup_peer_updates(&self) -> impl Iterator<Item = CrashUpdate> {
         self.all_news().map(|(_, news)| news)
     }
 
--- a/crates/policy/src/named_limits/upstreams.rs
+++ b/crates/policy/src/named_limits/upstreams.rs
@@ -87,7 +87,7 @@
     }
 
     /// What an entry that starts should know: all limits that hold.
-    pub fn tellable_at_start(
+    pub fn startup_peer_updates(
         &self,
         now: MonoTime,
     ) -> impl Iterator<Item = (UpstreamKey, LimitUpdate)> {
