--- a/benches/support/ends_world.rs
+++ b/benches/support/ends_world.rs
@@ -247,7 +247,7 @@
         self.requests[number].upstream = None;
         let has_cleared = self.books[request.entry].answered(self.now, request.print);
         if has_cleared {
-            let told: Vec<_> = self.books[request.entry].tellable(self.now).collect();
+            let told: Vec<_> = self.books[request.entry].peer_updates(self.now).collect();
             let cleared = told.into_iter().filter(|n| n.request == request.print && n.is_cleared);
             self.tell(request.entry, &cleared.collect::<Vec<_>>());
         }
--- a/crates/gateway/src/fatal/book.rs
+++ b/crates/gateway/src/fatal/book.rs
@@ -163,11 +163,11 @@
     }
 
     /// What other entries should know.
-    pub(crate) fn tellable(&self, now: MonoTime) -> Vec<CrashUpdate> {
+    pub(crate) fn peer_updates(&self, now: MonoTime) -> Vec<CrashUpdate> {
         if !self.is_used() {
             return Vec::new();
         }
-        self.requests.lock().tellable(now).collect()
+        self.requests.lock().peer_updates(now).collect()
     }
 
     /// What an entry should know that has just started.
--- a/crates/gateway/src/peers/ends.rs
+++ b/crates/gateway/src/peers/ends.rs
@@ -14,7 +14,7 @@
 
 /// What this entry has learnt lately.
 pub(super) fn own_ends(state: &GatewayState) -> Vec<EndOf> {
-    messages(state.fatal.tellable(state.now()))
+    messages(state.fatal.peer_updates(state.now()))
 }
 
 /// All that this entry knows.
--- a/crates/gateway/src/upstreams/news.rs
+++ b/crates/gateway/src/upstreams/news.rs
@@ -19,8 +19,8 @@
     /// What other entries should know of upstreams that are not well.
     pub(crate) fn standings(&self, now: MonoTime) -> Vec<(UpstreamKey, HealthUpdate)> {
         let known = self.known.lock();
-        let tellable = known.health.tellable(now);
-        tellable.map(|(start, told)| (UpstreamKey::of(start), told)).collect()
+        let peer_updates = known.health.peer_updates(now);
+        peer_updates.map(|(start, told)| (UpstreamKey::of(start), told)).collect()
     }
 
     /// Another entry tells what it knows of upstreams that are not well. Gives those that are known to be
@@ -50,7 +50,7 @@
 
     /// What other entries should know of limits.
     pub(crate) fn named_limits(&self, now: MonoTime) -> Vec<(UpstreamKey, LimitUpdate)> {
-        self.known.lock().limits.tellable(now).collect()
+        self.known.lock().limits.peer_updates(now).collect()
     }
 
     /// The same for one that starts.
--- a/crates/policy/src/balance/health/mod.rs
+++ b/crates/policy/src/balance/health/mod.rs
@@ -147,13 +147,13 @@
     }
 
     /// What other entries should know.
-    pub fn tellable(
+    pub fn peer_updates(
         &self,
         now: MonoTime,
     ) -> impl Iterator<Item = (&UpstreamIncarnation, HealthUpdate)> {
         let reached = self.by_start.iter().filter(|(_, record)| !record.is_unreachable);
         reached.filter_map(move |(start, record)| {
-            Some((start, record.standing.tellable(now, &self.config)?))
+            Some((start, record.standing.peer_updates(now, &self.config)?))
         })
     }
 
--- a/crates/policy/src/balance/health/standing.rs
+++ b/crates/policy/src/balance/health/standing.rs
@@ -131,7 +131,7 @@
     }
 
     /// What other entries should know.
-    pub(super) fn tellable(self, now: MonoTime, config: &HealthConfig) -> Option<HealthUpdate> {
+    pub(super) fn peer_updates(self, now: MonoTime, config: &HealthConfig) -> Option<HealthUpdate> {
         match self {
             Self::Over(over)
                 if now < over.until && now.since(over.since) < config.tell_over_for =>
--- a/crates/policy/src/fatal/mod.rs
+++ b/crates/policy/src/fatal/mod.rs
@@ -352,7 +352,7 @@
     }
 
     /// What other entries should know that have listened lately.
-    pub fn tellable(&self, now: MonoTime) -> impl Iterator<Item = CrashUpdate> {
+    pub fn peer_updates(&self, now: MonoTime) -> impl Iterator<Item = CrashUpdate> {
         let tell_for = self.config.tell_for;
         self.all_news().filter(move |(end, _)| now.since(end.learnt) < tell_for).map(|(_, n)| n)
     }
--- a/crates/policy/src/named_limits/record.rs
+++ b/crates/policy/src/named_limits/record.rs
@@ -100,7 +100,7 @@
         now.since(self.learnt) < TELL_FOR
     }
 
-    pub(super) fn tellable(&self, now: MonoTime) -> LimitUpdate {
+    pub(super) fn peer_updates(&self, now: MonoTime) -> LimitUpdate {
         LimitUpdate { limit: self.limit, age: now.since(self.as_of) }
     }
 
--- a/crates/policy/src/named_limits/upstreams.rs
+++ b/crates/policy/src/named_limits/upstreams.rs
@@ -81,9 +81,9 @@
     }
 
     /// What other entries should know: what this one has learnt lately.
-    pub fn tellable(&self, now: MonoTime) -> impl Iterator<Item = (UpstreamKey, LimitUpdate)> {
+    pub fn peer_updates(&self, now: MonoTime) -> impl Iterator<Item = (UpstreamKey, LimitUpdate)> {
         let news = self.by_upstream.iter().filter(move |(_, record)| record.is_news(now));
-        news.map(move |(upstream, record)| (*upstream, record.tellable(now)))
+        news.map(move |(upstream, record)| (*upstream, record.peer_updates(now)))
     }
 
     /// What an entry that starts should know: all limits that hold.
@@ -92,7 +92,7 @@
         now: MonoTime,
     ) -> impl Iterator<Item = (UpstreamKey, LimitUpdate)> {
         let hold = self.by_upstream.iter().filter(|(_, record)| record.limit().is_some());
-        hold.map(move |(upstream, record)| (*upstream, record.tellable(now)))
+        hold.map(move |(upstream, record)| (*upstream, record.peer_updates(now)))
     }
 
     /// Whether one of these entries may send a request to an upstream now.
--- a/tests/all/decisions/fatal.rs
+++ b/tests/all/decisions/fatal.rs
@@ -275,8 +275,8 @@
 #[test]
 fn others_are_told_for_a_while_and_an_entry_that_starts_at_any_time() {
     let requests = after(&[(FATAL, 1)]);
-    assert_eq!(requests.tellable(at_ms(2_999)).count(), 1);
-    assert_eq!(requests.tellable(at_ms(3_000)).count(), 0);
+    assert_eq!(requests.peer_updates(at_ms(2_999)).count(), 1);
+    assert_eq!(requests.peer_updates(at_ms(3_000)).count(), 0);
     assert_eq!(requests.startup_peer_updates().count(), 1);
 }
 
--- a/tests/all/decisions/health.rs
+++ b/tests/all/decisions/health.rs
@@ -80,7 +80,7 @@
 }
 
 fn told(health: &UpstreamHealth, now: MonoTime) -> Vec<HealthUpdate> {
-    health.tellable(now).map(|(_, told)| told).collect()
+    health.peer_updates(now).map(|(_, told)| told).collect()
 }
 
 fn over(ms: u64) -> HealthUpdate {
--- a/tests/all/decisions/named_limits.rs
+++ b/tests/all/decisions/named_limits.rs
@@ -86,7 +86,7 @@
 
     /// What it tells others.
     fn tells(&self, ms: u64) -> Option<LimitUpdate> {
-        self.limits.tellable(at(ms)).next().map(|(_, told)| told)
+        self.limits.peer_updates(at(ms)).next().map(|(_, told)| told)
     }
 
     fn is_told(&mut self, ms: u64, told: LimitUpdate) -> bool {
