--- a/benches/rollout.rs
+++ b/benches/rollout.rs
@@ -167,7 +167,7 @@
         for entry in lost {
             entry.evidence = RolloutEvidence::default();
             entry.told = EvidenceTotals::default();
-            for (kind, known) in kept.iter().flat_map(|other| other.evidence.known_times()) {
+            for (kind, known) in kept.iter().flat_map(|other| other.evidence.baseline_updates()) {
                 entry.evidence.told_time(kind.clone(), known);
             }
         }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -95,7 +95,7 @@
 }
 
 fn usual_times(state: &GatewayState) -> Vec<String> {
-    let times = state.rollouts.lock().known_times();
+    let times = state.rollouts.lock().baseline_updates();
     let mut lines: Vec<_> = times.iter().map(ToString::to_string).collect();
     lines.sort_unstable();
     lines
--- a/crates/gateway/src/peers/usual_times.rs
+++ b/crates/gateway/src/peers/usual_times.rs
@@ -19,7 +19,7 @@
     if !is_wanted {
         return Vec::new();
     }
-    let known = state.rollouts.lock().known_times();
+    let known = state.rollouts.lock().baseline_updates();
     known.into_iter().take(MAX_TIMES).map(news_of).collect()
 }
 
--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -221,7 +221,7 @@
     }
 
     /// The old version's usual times, while a roll-out is under way.
-    pub(super) fn known_times(&self) -> Vec<BaselineUpdate> {
+    pub(super) fn baseline_updates(&self) -> Vec<BaselineUpdate> {
         let Some(order) = self.known.order().filter(|_| self.is_running()) else {
             return Vec::new();
         };
@@ -231,7 +231,7 @@
             kind: kind.clone(),
             known,
         };
-        self.evidence.known_times().map(told).collect()
+        self.evidence.baseline_updates().map(told).collect()
     }
 
     /// Another entry tells a usual time.
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -172,8 +172,8 @@
     }
 
     /// The old versions' usual times, as far as roll-outs are under way.
-    pub fn known_times(&self) -> Vec<BaselineUpdate> {
-        self.services.values().flat_map(ServiceRollout::known_times).collect()
+    pub fn baseline_updates(&self) -> Vec<BaselineUpdate> {
+        self.services.values().flat_map(ServiceRollout::baseline_updates).collect()
     }
 
     /// Another entry tells a usual time.
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -89,7 +89,7 @@
     }
 
     /// The old version's usual times, to be told to others.
-    pub fn known_times(&self) -> impl Iterator<Item = (&RequestKind, BaselineLatency)> {
+    pub fn baseline_updates(&self) -> impl Iterator<Item = (&RequestKind, BaselineLatency)> {
         self.usual.iter().flat_map(|(kind, usual)| usual.known().map(move |known| (kind, known)))
     }
 
