--- a/benches/rollout.rs
+++ b/benches/rollout.rs
@@ -168,7 +168,7 @@
             entry.evidence = RolloutEvidence::default();
             entry.told = EvidenceTotals::default();
             for (kind, known) in kept.iter().flat_map(|other| other.evidence.baseline_updates()) {
-                entry.evidence.told_time(kind.clone(), known);
+                entry.evidence.apply_baseline_update(kind.clone(), known);
             }
         }
     }
--- a/crates/gateway/src/peers/usual_times.rs
+++ b/crates/gateway/src/peers/usual_times.rs
@@ -27,7 +27,9 @@
 pub(super) fn take_times(state: &GatewayState, news: &[TimeNews]) {
     for news in news.iter().take(MAX_TIMES) {
         match time_of(news) {
-            Ok(time) if time.known.is_credible() => state.rollouts.lock().told_time(time),
+            Ok(time) if time.known.is_credible() => {
+                state.rollouts.lock().apply_baseline_update(time)
+            }
             Ok(time) => log::warn!(time:% = time; "ignored: a usual time that cannot be"),
             Err(error) => {
                 log::warn!(error:% = error; "a usual time of no service, route or model ignored");
--- a/crates/gateway/src/rollouts/mod.rs
+++ b/crates/gateway/src/rollouts/mod.rs
@@ -1,17 +1,17 @@
 //! Roll-outs: which version a request goes to, and the task that takes the next step.
 
+mod baseline_update;
 mod driver;
 mod order_and_record;
 mod service_rollout;
 mod state;
-mod told_time;
 mod verdict;
 mod version_rule;
 mod watch;
 
+pub use baseline_update::BaselineUpdate;
 pub(crate) use driver::drive;
 pub use state::Rollouts;
-pub use told_time::BaselineUpdate;
 pub use verdict::Ending;
 pub use verdict::Verdict;
 pub use version_rule::ControlRule;
--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -235,10 +235,10 @@
     }
 
     /// Another entry tells a usual time.
-    pub(super) fn told_time(&mut self, time: BaselineUpdate) {
+    pub(super) fn apply_baseline_update(&mut self, time: BaselineUpdate) {
         if self.is_of_order(time.order_version) {
             self.has_told_times = true;
-            self.evidence.told_time(time.kind, time.known);
+            self.evidence.apply_baseline_update(time.kind, time.known);
         }
     }
 
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -177,9 +177,9 @@
     }
 
     /// Another entry tells a usual time.
-    pub fn told_time(&mut self, time: BaselineUpdate) {
+    pub fn apply_baseline_update(&mut self, time: BaselineUpdate) {
         if let Some(rollout) = self.services.get_mut(&time.service) {
-            rollout.told_time(time);
+            rollout.apply_baseline_update(time);
         }
     }
 
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -94,7 +94,7 @@
     }
 
     /// Another entry tells a usual time of the old version.
-    pub fn told_time(&mut self, kind: RequestKind, known: BaselineLatency) {
+    pub fn apply_baseline_update(&mut self, kind: RequestKind, known: BaselineLatency) {
         self.usual.entry(kind).or_default().apply_peer_update(known);
     }
 
