--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -140,11 +140,11 @@
         let kind = self.kind();
         loop {
             let load = self.load();
-            let slow_after = self.state.rollouts.lock().slow_after(service, &kind, load);
-            let Some(slow_after) = slow_after else {
+            let slow_threshold = self.state.rollouts.lock().slow_threshold(service, &kind, load);
+            let Some(slow_threshold) = slow_threshold else {
                 return std::future::pending().await;
             };
-            let left = slow_after.saturating_sub(self.state.now().since(started));
+            let left = slow_threshold.saturating_sub(self.state.now().since(started));
             if left.is_zero() {
                 return;
             }
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -108,14 +108,14 @@
     }
 
     /// The time from which on an answer is slow, while a roll-out runs.
-    pub fn slow_after(
+    pub fn slow_threshold(
         &self,
         service: &ServiceName,
         kind: &RequestKind,
         load: u32,
     ) -> Option<Duration> {
         let rollout = self.services.get(service).filter(|rollout| rollout.is_running())?;
-        rollout.evidence.slow_after(kind, load)
+        rollout.evidence.slow_threshold(kind, load)
     }
 
     /// What this entry has counted of the roll-outs that are under way: the service, the
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -75,7 +75,7 @@
     }
 
     /// The time from which on an answer is slow; none while that is not known.
-    pub fn slow_after(&self, kind: &RequestKind, load: u32) -> Option<Duration> {
+    pub fn slow_threshold(&self, kind: &RequestKind, load: u32) -> Option<Duration> {
         Some(self.usual.get(kind)?.at(load)?.mul_f64(SLOW_FACTOR))
     }
 
@@ -165,7 +165,7 @@
 
     /// Where the usual time is not known, a time says nothing.
     fn timed(&self, kind: &RequestKind, load: u32, time: Duration) -> TimedCounts {
-        let slow_after = self.slow_after(kind, load);
-        slow_after.map_or_else(TimedCounts::default, |slow| TimedCounts::one(time > slow))
+        let slow_threshold = self.slow_threshold(kind, load);
+        slow_threshold.map_or_else(TimedCounts::default, |slow| TimedCounts::one(time > slow))
     }
 }
--- a/tests/all/decisions/rollout_evidence.rs
+++ b/tests/all/decisions/rollout_evidence.rs
@@ -145,7 +145,7 @@
     for _ in 0..100 {
         evidence.old_version(&kind("r"), LOAD, answered_ms(100));
     }
-    assert_eq!(evidence.slow_after(&kind("r"), LOAD), Some(Duration::from_millis(200)));
+    assert_eq!(evidence.slow_threshold(&kind("r"), LOAD), Some(Duration::from_millis(200)));
     for _ in 0..15 {
         evidence.new_version(&kind("r"), LOAD, Observation::Overdue);
     }
@@ -166,7 +166,7 @@
 fn before_a_usual_time_is_known_nothing_is_overdue() {
     let mut evidence = RolloutEvidence::default();
     evidence.old_version(&kind("r"), LOAD, answered_ms(100));
-    assert_eq!(evidence.slow_after(&kind("r"), LOAD), None);
+    assert_eq!(evidence.slow_threshold(&kind("r"), LOAD), None);
 }
 
 // Seen on the bench: a version whose engines generate slowly answers its first part in time.
