--- a/benches/support/ends_decisions.rs
+++ b/benches/support/ends_decisions.rs
@@ -4,8 +4,8 @@
 
 use stallhoist_core::RequestFingerprint;
 use stallhoist_core::StoreVersion;
+use stallhoist_policy::fatal::Disposition;
 use stallhoist_policy::fatal::FatalRecord;
-use stallhoist_policy::fatal::Verdict;
 
 use super::Event;
 use super::Request;
@@ -36,10 +36,10 @@
             }
             Policy::Kept | Policy::Alone => {
                 match self.books[request.entry].verdict(self.now, request.print) {
-                    Verdict::Free => Some(false),
-                    Verdict::Suspect => Some(true),
-                    Verdict::HeldBack { .. } => request.is_trying.then_some(true),
-                    Verdict::MayTry => self.claim(number).then_some(true),
+                    Disposition::Free => Some(false),
+                    Disposition::Suspect => Some(true),
+                    Disposition::HeldBack { .. } => request.is_trying.then_some(true),
+                    Disposition::MayTry => self.claim(number).then_some(true),
                 }
             }
         }
--- a/crates/gateway/src/fatal/book.rs
+++ b/crates/gateway/src/fatal/book.rs
@@ -10,10 +10,10 @@
 use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::balance::UpstreamKey;
 use stallhoist_policy::fatal::CrashUpdate;
+use stallhoist_policy::fatal::Disposition;
 use stallhoist_policy::fatal::FatalChange;
 use stallhoist_policy::fatal::FatalConfig;
 use stallhoist_policy::fatal::FatalRequests;
-use stallhoist_policy::fatal::Verdict;
 use tokio::sync::Notify;
 use tokio::sync::futures::Notified;
 use tokio::sync::mpsc;
@@ -77,7 +77,7 @@
     }
 
     /// What may be done with a request now.
-    pub(crate) fn verdict(&self, now: MonoTime, request: RequestFingerprint) -> Verdict {
+    pub(crate) fn verdict(&self, now: MonoTime, request: RequestFingerprint) -> Disposition {
         self.requests.lock().verdict(now, request)
     }
 
@@ -96,7 +96,7 @@
     /// An end under a request was not known before.
     fn note_new(&self, now: MonoTime, request: RequestFingerprint, start: &UpstreamIncarnation) {
         self.has_news.notify_one();
-        if matches!(self.verdict(now, request), Verdict::HeldBack { .. }) {
+        if matches!(self.verdict(now, request), Disposition::HeldBack { .. }) {
             log::warn!(fingerprint:% = request, instance:% = start; "request held back: it ends upstreams");
         }
     }
--- a/crates/gateway/src/request/execution/held_back.rs
+++ b/crates/gateway/src/request/execution/held_back.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stallhoist_core::MonoTime;
-use stallhoist_policy::fatal::Verdict;
+use stallhoist_policy::fatal::Disposition;
 
 use super::Execution;
 use crate::fatal::Try;
@@ -33,11 +33,11 @@
         let request = self.call.fingerprint();
         let verdict = self.state.fatal.verdict(self.state.now(), request);
         match verdict {
-            Verdict::Free => return Ok(()),
-            Verdict::Suspect => {}
-            Verdict::HeldBack { .. } if self.trying.is_some() => {}
-            Verdict::HeldBack { due } => return Err(self.hold_back(due)),
-            Verdict::MayTry => {
+            Disposition::Free => return Ok(()),
+            Disposition::Suspect => {}
+            Disposition::HeldBack { .. } if self.trying.is_some() => {}
+            Disposition::HeldBack { due } => return Err(self.hold_back(due)),
+            Disposition::MayTry => {
                 if self.progress.attempts() > 0 {
                     return Err(self.hold_back(None));
                 }
--- a/crates/policy/src/fatal/mod.rs
+++ b/crates/policy/src/fatal/mod.rs
@@ -41,12 +41,12 @@
 use record::End;
 use record::Record;
 use record::Row;
+pub use standing::Disposition;
 pub use standing::FatalChange;
 pub use standing::FatalRecord;
 use standing::HeldBack;
 use standing::Standing;
 use standing::Suspect;
-pub use standing::Verdict;
 
 use crate::balance::UpstreamKey;
 
@@ -89,22 +89,22 @@
     }
 
     /// What may be done with a request now.
-    pub fn verdict(&self, now: MonoTime, request: RequestFingerprint) -> Verdict {
+    pub fn verdict(&self, now: MonoTime, request: RequestFingerprint) -> Disposition {
         let Some(record) = self.records.get(&request) else {
-            return Verdict::Free;
+            return Disposition::Free;
         };
         let held = match record.standing {
-            Standing::Cleared(_) => return Verdict::Free,
-            Standing::Suspect(_) => return Verdict::Suspect,
+            Standing::Cleared(_) => return Disposition::Free,
+            Standing::Suspect(_) => return Disposition::Suspect,
             Standing::Trying(trying) if now < trying.until() => {
-                return Verdict::HeldBack { due: Some(trying.until()) };
+                return Disposition::HeldBack { due: Some(trying.until()) };
             }
             Standing::Trying(trying) => trying.end(trying.until()),
             Standing::HeldBack(held) => held,
         };
         match held.due(&self.config) {
-            Some(due) if now >= due && record.row.is_some() => Verdict::MayTry,
-            due => Verdict::HeldBack { due },
+            Some(due) if now >= due && record.row.is_some() => Disposition::MayTry,
+            due => Disposition::HeldBack { due },
         }
     }
 
@@ -274,7 +274,7 @@
     /// A request is to be tried again by this entry. Gives what the store has to agree to; none when
     /// it is not to be tried now.
     pub fn begin_try(&mut self, now: MonoTime, request: RequestFingerprint) -> Option<FatalChange> {
-        if self.verdict(now, request) != Verdict::MayTry {
+        if self.verdict(now, request) != Disposition::MayTry {
             return None;
         }
         let record = self.records.get_mut(&request)?;
--- a/crates/policy/src/fatal/standing.rs
+++ b/crates/policy/src/fatal/standing.rs
@@ -117,7 +117,7 @@
 
 /// What may be done with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Disposition {
     /// Nothing speaks against it.
     Free,
     /// It may be what ended upstreams: it is sent, but not beside others of which that is thought.
