--- a/crates/gateway/src/peers/verdicts.rs
+++ b/crates/gateway/src/peers/verdicts.rs
@@ -4,13 +4,13 @@
 
 use super::messages::VerdictNews;
 use crate::rollouts::Ending;
-use crate::rollouts::Verdict;
+use crate::rollouts::RolloutDecision;
 use crate::state::GatewayState;
 
 /// What this entry knows.
 pub(super) fn own_verdicts(state: &GatewayState) -> Vec<VerdictNews> {
     let verdicts = state.rollouts.lock().verdicts();
-    let message = |verdict: &Verdict| VerdictNews {
+    let message = |verdict: &RolloutDecision| VerdictNews {
         service: verdict.service.to_string(),
         order_version: verdict.order_version.number,
         is_completed: verdict.ending == Ending::Completed,
@@ -25,7 +25,7 @@
             Ok(service) => {
                 let order_version = StoreVersion::of(news.order_version);
                 let ending = if news.is_completed { Ending::Completed } else { Ending::Bad };
-                state.rollouts.lock().apply_peer_update(&Verdict {
+                state.rollouts.lock().apply_peer_update(&RolloutDecision {
                     service,
                     order_version,
                     ending,
--- a/crates/gateway/src/rollouts/mod.rs
+++ b/crates/gateway/src/rollouts/mod.rs
@@ -13,7 +13,7 @@
 pub(crate) use driver::drive;
 pub use state::Rollouts;
 pub use verdict::Ending;
-pub use verdict::Verdict;
+pub use verdict::RolloutDecision;
 pub use version_rule::ControlRule;
 pub use version_rule::VersionFilter;
 pub use version_rule::VersionRule;
--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -22,7 +22,7 @@
 use super::BaselineUpdate;
 use super::ControlRule;
 use super::Ending;
-use super::Verdict;
+use super::RolloutDecision;
 use super::VersionRule;
 use super::order_and_record::OrderAndRecord;
 use crate::control_store::RolloutChange;
@@ -243,7 +243,7 @@
     }
 
     /// What is known of the end of the roll-out.
-    pub(super) fn verdict(&self) -> Option<Verdict> {
+    pub(super) fn verdict(&self) -> Option<RolloutDecision> {
         let order = self.known.order()?;
         let ending = if self.is_completed() {
             Ending::Completed
@@ -253,11 +253,11 @@
             return None;
         };
         let (service, order_version) = (order.service.clone(), order.row_version);
-        Some(Verdict { service, order_version, ending })
+        Some(RolloutDecision { service, order_version, ending })
     }
 
     /// Another entry knows how the roll-out ends.
-    pub(super) fn apply_peer_update(&mut self, verdict: &Verdict) {
+    pub(super) fn apply_peer_update(&mut self, verdict: &RolloutDecision) {
         if !self.is_of_order(verdict.order_version) {
             return;
         }
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -19,7 +19,7 @@
 use stallhoist_policy::rollout::RolloutRecord;
 
 use super::BaselineUpdate;
-use super::Verdict;
+use super::RolloutDecision;
 use super::VersionRule;
 use super::service_rollout::ServiceRollout;
 use crate::control_store::RolloutChange;
@@ -185,7 +185,7 @@
 
     /// What this entry knows of the ends of roll-outs: versions found bad, by its own evidence
     /// or by others, that are not recorded yet, and orders that are completed.
-    pub fn verdicts(&self) -> Vec<Verdict> {
+    pub fn verdicts(&self) -> Vec<RolloutDecision> {
         self.services.values().filter_map(ServiceRollout::verdict).collect()
     }
 
@@ -193,7 +193,7 @@
     /// started after the evidence was seen would complete the roll-out. That it is completed
     /// counts for an entry that does not reach the store: it would go on sending requests to
     /// the old version, which is gone.
-    pub fn apply_peer_update(&mut self, verdict: &Verdict) {
+    pub fn apply_peer_update(&mut self, verdict: &RolloutDecision) {
         if let Some(rollout) = self.services.get_mut(&verdict.service) {
             rollout.apply_peer_update(verdict);
         }
--- a/crates/gateway/src/rollouts/verdict.rs
+++ b/crates/gateway/src/rollouts/verdict.rs
@@ -14,7 +14,7 @@
 
 /// What an entry knows of the end of a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Verdict {
+pub struct RolloutDecision {
     /// The service.
     pub service: ServiceName,
     /// The version of the order's row: a verdict on another order is of no use.
--- a/tests/all/decisions/rollout_rules.rs
+++ b/tests/all/decisions/rollout_rules.rs
@@ -8,8 +8,8 @@
 use stallhoist_gateway::control_store::RolloutOrder;
 use stallhoist_gateway::control_store::StoredRollout;
 use stallhoist_gateway::rollouts::Ending;
+use stallhoist_gateway::rollouts::RolloutDecision;
 use stallhoist_gateway::rollouts::Rollouts;
-use stallhoist_gateway::rollouts::Verdict;
 use stallhoist_gateway::rollouts::VersionFilter;
 use stallhoist_gateway::rollouts::VersionRule;
 use stallhoist_policy::rollout::EvidenceTotals;
@@ -258,8 +258,8 @@
     assert_eq!((totals.new.answers, totals.new.failures, totals.old.answers), (1, 1, 0));
 }
 
-fn verdict(order_version: u64, ending: Ending) -> Verdict {
-    Verdict { service: service(), order_version: StoreVersion::of(order_version), ending }
+fn verdict(order_version: u64, ending: Ending) -> RolloutDecision {
+    RolloutDecision { service: service(), order_version: StoreVersion::of(order_version), ending }
 }
 
 // Three entries had found a version bad while the store was away; one that had started since
