--- a/benches/rollout.rs
+++ b/benches/rollout.rs
@@ -13,10 +13,10 @@
 use stallhoist_measure::Report;
 use stallhoist_measure::percentile;
 use stallhoist_policy::rollout::EvidenceTotals;
+use stallhoist_policy::rollout::LatencyKind;
 use stallhoist_policy::rollout::Observation;
 use stallhoist_policy::rollout::RequestKind;
 use stallhoist_policy::rollout::RolloutEvidence;
-use stallhoist_policy::rollout::TimedPart;
 
 const BAD_ROLL_OUTS: u64 = 60;
 const GOOD_ROLL_OUTS: u64 = 1_000;
@@ -35,7 +35,7 @@
 const IDLE_PAUSE_MS: f64 = 20.0;
 const PAUSE_MS_A_REQUEST: f64 = 1.0;
 const TELL_EVERY_S: f64 = 0.5;
-const PACE: RequestKind = RequestKind { route: None, model: None, part: TimedPart::Pause };
+const PACE: RequestKind = RequestKind { route: None, model: None, part: LatencyKind::Pause };
 
 /// What a roll-out meets.
 #[derive(Debug, Clone, Copy)]
--- a/crates/gateway/src/peers/usual_times.rs
+++ b/crates/gateway/src/peers/usual_times.rs
@@ -3,8 +3,8 @@
 use stallhoist_core::NameError;
 use stallhoist_core::StoreVersion;
 use stallhoist_policy::rollout::BaselineLatency;
+use stallhoist_policy::rollout::LatencyKind;
 use stallhoist_policy::rollout::RequestKind;
-use stallhoist_policy::rollout::TimedPart;
 
 use super::messages::TimeNews;
 use crate::rollouts::BaselineUpdate;
@@ -44,7 +44,7 @@
         order_version: time.order_version.number,
         route: time.kind.route.map(|route| route.to_string()),
         model: time.kind.model.map(|model| model.to_string()),
-        is_pause: time.kind.part == TimedPart::Pause,
+        is_pause: time.kind.part == LatencyKind::Pause,
         load: time.known.load,
         usual_ms: time.known.usual_ms,
     }
@@ -54,7 +54,7 @@
     let kind = RequestKind {
         route: news.route.as_deref().map(str::parse).transpose()?,
         model: news.model.as_deref().map(str::parse).transpose()?,
-        part: if news.is_pause { TimedPart::Pause } else { TimedPart::First },
+        part: if news.is_pause { LatencyKind::Pause } else { LatencyKind::First },
     };
     Ok(BaselineUpdate {
         service: news.service.parse()?,
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -11,9 +11,9 @@
 use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::VersionName;
 use stallhoist_policy::balance::Evidence;
+use stallhoist_policy::rollout::LatencyKind;
 use stallhoist_policy::rollout::Observation;
 use stallhoist_policy::rollout::RequestKind;
-use stallhoist_policy::rollout::TimedPart;
 
 use super::Break;
 use super::Call;
@@ -166,7 +166,7 @@
         RequestKind {
             route: Some(self.call.route.name.clone()),
             model: self.model.cloned(),
-            part: TimedPart::First,
+            part: LatencyKind::First,
         }
     }
 
--- a/crates/gateway/src/request/pace_watch.rs
+++ b/crates/gateway/src/request/pace_watch.rs
@@ -7,11 +7,11 @@
 use stallhoist_core::ServiceName;
 use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::VersionName;
+use stallhoist_policy::rollout::LatencyKind;
 use stallhoist_policy::rollout::Observation;
 use stallhoist_policy::rollout::Pace;
 use stallhoist_policy::rollout::RequestKind;
 use stallhoist_policy::rollout::StreamPace;
-use stallhoist_policy::rollout::TimedPart;
 
 use crate::state::GatewayState;
 
@@ -72,7 +72,7 @@
         };
         self.pace = None;
         let PaceSubject { service, model, version, .. } = &self.subject;
-        let kind = RequestKind { route: None, model: model.clone(), part: TimedPart::Pause };
+        let kind = RequestKind { route: None, model: model.clone(), part: LatencyKind::Pause };
         let Pace { pause, in_progress } = pace;
         let observation = Observation::Paced(pause);
         self.state.rollouts.lock().observe(service, version, &kind, in_progress, observation);
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -7,11 +7,11 @@
 use super::EvidenceStanding;
 use super::EvidenceTest;
 use super::EvidenceTotals;
+use super::LatencyKind;
 use super::MeanLoad;
 use super::Observation;
 use super::RequestKind;
 use super::TimedCounts;
-use super::TimedPart;
 use super::UsualTime;
 use super::VersionCounts;
 use super::comparison::Comparison;
@@ -83,7 +83,7 @@
     /// from an entry's first second on, all of its upstreams are busy. Nothing that is known then
     /// can show that a new version is slow, so one of them has to rest, as a control.
     pub fn needs_control(&self) -> bool {
-        let paces = self.usual.iter().filter(|(kind, _)| kind.part == TimedPart::Pause);
+        let paces = self.usual.iter().filter(|(kind, _)| kind.part == LatencyKind::Pause);
         let most_asked = paces.map(|(_, usual)| usual).max_by_key(|usual| usual.answers());
         most_asked.is_some_and(|usual| !usual.is_known_below(IDLE_LOAD))
     }
--- a/crates/policy/src/rollout/observation.rs
+++ b/crates/policy/src/rollout/observation.rs
@@ -23,7 +23,7 @@
 
 /// Which time is compared, and by which load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum TimedPart {
+pub enum LatencyKind {
     /// From sending the request to the first part of its answer. The load is the time that
     /// it was expected to take, in milliseconds: reading the prompt, as far as the upstream
     /// has not read it, and what it had to do before. A version that gets all requests at
@@ -41,5 +41,5 @@
     /// The model that was asked, if any.
     pub model: Option<ModelName>,
     /// Which time it is.
-    pub part: TimedPart,
+    pub part: LatencyKind,
 }
--- a/tests/all/decisions/rollout_evidence.rs
+++ b/tests/all/decisions/rollout_evidence.rs
@@ -5,18 +5,18 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
+use stallhoist_policy::rollout::LatencyKind;
 use stallhoist_policy::rollout::Observation;
 use stallhoist_policy::rollout::RequestKind;
 use stallhoist_policy::rollout::RolloutEvidence;
 use stallhoist_policy::rollout::TimedCounts;
-use stallhoist_policy::rollout::TimedPart;
 
 /// Requests in progress at the upstream.
 const LOAD: u32 = 4;
 
 fn kind(route: &str) -> RequestKind {
     let route = Some(route.parse().expect("a name"));
-    RequestKind { route, model: None, part: TimedPart::First }
+    RequestKind { route, model: None, part: LatencyKind::First }
 }
 
 fn kind_of_model(model: &str) -> RequestKind {
@@ -172,7 +172,7 @@
 // Seen on the bench: a version whose engines generate slowly answers its first part in time.
 #[test]
 fn a_version_that_generates_slowly_is_found() {
-    let pace = RequestKind { part: TimedPart::Pause, ..kind("r") };
+    let pace = RequestKind { part: LatencyKind::Pause, ..kind("r") };
     let paced_ms = |ms| Observation::Paced(Duration::from_millis(ms));
     let mut evidence = RolloutEvidence::default();
     for _ in 0..100 {
--- a/tests/all/decisions/rollout_rules.rs
+++ b/tests/all/decisions/rollout_rules.rs
@@ -13,12 +13,12 @@
 use stallhoist_gateway::rollouts::VersionFilter;
 use stallhoist_gateway::rollouts::VersionRule;
 use stallhoist_policy::rollout::EvidenceTotals;
+use stallhoist_policy::rollout::LatencyKind;
 use stallhoist_policy::rollout::Observation;
 use stallhoist_policy::rollout::RequestKind;
 use stallhoist_policy::rollout::RolloutConfig;
 use stallhoist_policy::rollout::RolloutPhase;
 use stallhoist_policy::rollout::RolloutRecord;
-use stallhoist_policy::rollout::TimedPart;
 use stallhoist_policy::rollout::VersionCounts;
 
 use super::at_ms;
@@ -97,7 +97,7 @@
 /// Roll-outs of which only busy upstreams of the old version were seen.
 fn rollouts_beside_a_burst(phase: RolloutPhase) -> Rollouts {
     let mut rollouts = rollouts(phase);
-    let pace = RequestKind { route: None, model: None, part: TimedPart::Pause };
+    let pace = RequestKind { route: None, model: None, part: LatencyKind::Pause };
     for _ in 0..10 {
         let pause = Observation::Paced(Duration::from_millis(100));
         rollouts.observe(&service(), &version("v1"), &pace, 40, pause);
@@ -180,7 +180,7 @@
 #[test]
 fn a_version_found_bad_gets_nothing_more() {
     let mut rollouts = rollouts(RolloutPhase::Canary);
-    let kind = RequestKind { route: None, model: None, part: TimedPart::First };
+    let kind = RequestKind { route: None, model: None, part: LatencyKind::First };
     for _ in 0..30 {
         rollouts.observe(&service(), &version("v2"), &kind, 4, Observation::Failed);
     }
@@ -250,7 +250,7 @@
 fn an_entry_tells_only_what_it_counted_itself() {
     let mut rollouts = rollouts(RolloutPhase::Canary);
     tell(&mut rollouts, "entry-1", 10, told(3, 1));
-    let kind = RequestKind { route: None, model: None, part: TimedPart::First };
+    let kind = RequestKind { route: None, model: None, part: LatencyKind::First };
     rollouts.observe(&service(), &version("v2"), &kind, 4, Observation::Failed);
     let own = rollouts.own_evidence();
     assert_eq!(own.len(), 1);
@@ -318,7 +318,7 @@
 // The next version is compared with the one that was completed, not with the one before that.
 #[test]
 fn a_completed_version_is_what_the_next_one_is_compared_with() {
-    let kind = RequestKind { route: None, model: None, part: TimedPart::First };
+    let kind = RequestKind { route: None, model: None, part: LatencyKind::First };
     let answered = |ms| Observation::Answered(Duration::from_millis(ms));
     let mut rollouts = rollouts(RolloutPhase::Canary);
     let answers = |rollouts: &mut Rollouts, name: &str, ms| {
--- a/tests/all/decisions/rollout_times.rs
+++ b/tests/all/decisions/rollout_times.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use stallhoist_policy::rollout::BaselineLatency;
+use stallhoist_policy::rollout::LatencyKind;
 use stallhoist_policy::rollout::Observation;
 use stallhoist_policy::rollout::RequestKind;
 use stallhoist_policy::rollout::RolloutEvidence;
 use stallhoist_policy::rollout::StreamPace;
-use stallhoist_policy::rollout::TimedPart;
 use stallhoist_policy::rollout::UsualTime;
 
-const PACE: RequestKind = RequestKind { route: None, model: None, part: TimedPart::Pause };
+const PACE: RequestKind = RequestKind { route: None, model: None, part: LatencyKind::Pause };
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
