--- a/crates/gateway/src/follow/taking.rs
+++ b/crates/gateway/src/follow/taking.rs
@@ -48,7 +48,7 @@
             "list of upstreams read"
         );
         for start in self.state.upstreams.replace(self.state.now(), members) {
-            self.state.shown_ended(&start);
+            self.state.confirm_termination(&start);
         }
         self.state.set_has_members();
     }
@@ -150,7 +150,7 @@
             Change::Rollout(stored) => state.rollouts.lock().stored(stored),
             Change::MemberListed(_) | Change::MemberGone(_) | Change::MemberUnreadable(_) => {
                 for start in state.upstreams.apply(state.now(), change) {
-                    state.shown_ended(&start);
+                    state.confirm_termination(&start);
                 }
             }
             Change::ZoneEmptied(zone) => state.upstreams.zone_emptied(zone),
--- a/crates/gateway/src/peers/standings.rs
+++ b/crates/gateway/src/peers/standings.rs
@@ -40,6 +40,6 @@
     };
     let told: HashMap<_, _> = told.iter().take(MAX_TOLD).map(standing).collect();
     for start in state.upstreams.told_standings(state.now(), &told) {
-        state.shown_ended(&start);
+        state.confirm_termination(&start);
     }
 }
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -99,7 +99,7 @@
                 let now = self.state.now();
                 self.state.upstreams.observe(now, &self.chosen.start, Evidence::Unreachable);
                 if error.is_by_host() {
-                    self.state.shown_ended(&self.chosen.start);
+                    self.state.confirm_termination(&self.chosen.start);
                 }
                 self.state.metrics.attempt_ended(AttemptResult::NotSent);
                 return AttemptEnd::NotSent(error.to_string());
@@ -333,7 +333,7 @@
             upstreams.first_part(service, model, start_pace, self.chosen, took);
         }
         if upstreams.observe(now, &self.chosen.start, evidence) {
-            self.state.shown_ended(&self.chosen.start);
+            self.state.confirm_termination(&self.chosen.start);
         }
         if let Some(observation) = observation {
             self.observe(observation);
--- a/crates/gateway/src/request/execution/break_off.rs
+++ b/crates/gateway/src/request/execution/break_off.rs
@@ -33,7 +33,7 @@
             state.metrics.upstream_ends.inc();
             state.upstreams.observe(now, start, Evidence::Ended);
             state.fatal.ended(now, self.call.fingerprint(), start);
-            state.shown_ended(start);
+            state.confirm_termination(start);
         } else if cause.may_show_later() && !state.suspend_recovery.is_catching_up() {
             state.fatal.broke(state.now(), self.call.fingerprint(), start);
         }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -272,7 +272,7 @@
 
     /// It shows that a start of an upstream has ended. What broke off there lately did so by its end, unless
     /// it had said that it leaves: then it ended as planned.
-    pub(crate) fn shown_ended(&self, start: &UpstreamIncarnation) {
+    pub(crate) fn confirm_termination(&self, start: &UpstreamIncarnation) {
         if !self.upstreams.has_announced(start) {
             self.fatal.upstream_ended(self.now(), start);
         }
