--- a/benches/support/cold_world.rs
+++ b/benches/support/cold_world.rs
@@ -134,7 +134,7 @@
             // Those that were there first know each other.
             hosts[joining..].iter().for_each(|other| fleet.listed(other.clone()));
             if n < joining {
-                fleet.announces_itself(at(joined_s[n]));
+                fleet.announce_self(at(joined_s[n]));
                 fleet.listed(host.clone());
             }
             let weight = weight(n, setting.uneven);
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -272,7 +272,7 @@
         if state.peers.lock().is_listed(&entry) {
             continue;
         }
-        state.upstreams.announces_itself(state.now());
+        state.upstreams.announce_self(state.now());
         match store.list_entry(&entry).await {
             Ok(()) => log::info!(peers_addr:% = peers_addr; "listed for other entries"),
             Err(error) => log::warn!(error:% = error; "not listed for other entries"),
--- a/crates/gateway/src/upstreams/cold.rs
+++ b/crates/gateway/src/upstreams/cold.rs
@@ -27,8 +27,8 @@
     }
 
     /// This entry is about to list itself.
-    pub(crate) fn announces_itself(&self, now: MonoTime) {
-        self.known.lock().fleet.announces_itself(now);
+    pub(crate) fn announce_self(&self, now: MonoTime) {
+        self.known.lock().fleet.announce_self(now);
     }
 
     /// Counts the upstreams of each service that are cold; logs where the first one is, or none any more.
--- a/crates/policy/src/fleet_bound/fleet.rs
+++ b/crates/policy/src/fleet_bound/fleet.rs
@@ -53,7 +53,7 @@
 
     /// This entry is about to list itself. Nothing changes if it is listed already, by an earlier
     /// process on its host: the others count it.
-    pub fn announces_itself(&mut self, now: MonoTime) {
+    pub fn announce_self(&mut self, now: MonoTime) {
         if !self.entries.values().any(|hash| *hash == self.own) {
             self.counted_from = now.after(COUNTED_AFTER);
         }
--- a/tests/all/decisions/cold.rs
+++ b/tests/all/decisions/cold.rs
@@ -156,7 +156,7 @@
     assert_eq!(place(&entry, 100), others);
     (0..3).for_each(|other| entry.fleet.listed(host(other)));
     assert_eq!(place(&entry, 100), others);
-    entry.fleet.announces_itself(at(200));
+    entry.fleet.announce_self(at(200));
     entry.fleet.listed(host(7));
     assert_eq!(place(&entry, 3_199), others);
     assert_eq!(place(&entry, 3_200), SlotAvailability::Free);
@@ -166,7 +166,7 @@
 #[test]
 fn an_entry_that_starts_again_sends_at_once() {
     let mut entry = entry(2, 3);
-    entry.fleet.announces_itself(at(200));
+    entry.fleet.announce_self(at(200));
     entry.cold.record_report(at(200), &start("i-1"), ReportedCold::Unsaid);
     assert_eq!(place(&entry, 200), SlotAvailability::Free);
 }
