--- a/benches/support/limits_world.rs
+++ b/benches/support/limits_world.rs
@@ -185,7 +185,7 @@
         entry.has_heard = true;
         let limit = RequestRate::from_per_s(self.setting.limit_per_s).expect("a rate");
         for start in &self.starts {
-            entry.limits.heard(at(now_s), start, at(now_s), NamedLimit::Of(limit));
+            entry.limits.record_report(at(now_s), start, at(now_s), NamedLimit::Of(limit));
         }
     }
 
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -211,7 +211,7 @@
         if self.is_from_chosen(&reply.head, &head) {
             let (upstreams, start) = (&self.state.upstreams, &self.chosen.start);
             let is_other_limit =
-                upstreams.heard(self.state.now(), start, sent, &head.upstream_report);
+                upstreams.record_report(self.state.now(), start, sent, &head.upstream_report);
             self.log_notice(&head.upstream_report, is_other_limit);
         }
         if head.is_not_run {
--- a/crates/gateway/src/upstreams/notices.rs
+++ b/crates/gateway/src/upstreams/notices.rs
@@ -10,7 +10,7 @@
 impl Upstreams {
     /// An upstream has said something of itself, in an answer to a request that was sent then. Says whether
     /// it names another limit than before.
-    pub(crate) fn heard(
+    pub(crate) fn record_report(
         &self,
         now: MonoTime,
         start: &UpstreamIncarnation,
@@ -30,7 +30,7 @@
         if let Some(rest) = upstream_report.rest {
             known.rests.asked(now, start, rest);
         }
-        let is_other_limit = known.limits.heard(now, start, sent, upstream_report.limit);
+        let is_other_limit = known.limits.record_report(now, start, sent, upstream_report.limit);
         drop(known);
         if is_other_limit {
             self.changed.notify_waiters();
--- a/crates/policy/src/named_limits/upstreams.rs
+++ b/crates/policy/src/named_limits/upstreams.rs
@@ -42,7 +42,7 @@
 impl NamedLimits {
     /// An answer of an upstream to a request that was sent then came. Says whether another limit,
     /// or none, is known since.
-    pub fn heard(
+    pub fn record_report(
         &mut self,
         now: MonoTime,
         start: &UpstreamIncarnation,
--- a/tests/all/decisions/named_limits.rs
+++ b/tests/all/decisions/named_limits.rs
@@ -59,11 +59,11 @@
     }
 
     fn names(&mut self, ms: u64, sent_ms: u64, per_s: f64) -> bool {
-        self.limits.heard(at(ms), &start(), at(sent_ms), NamedLimit::Of(rate(per_s)))
+        self.limits.record_report(at(ms), &start(), at(sent_ms), NamedLimit::Of(rate(per_s)))
     }
 
     fn names_none(&mut self, ms: u64, sent_ms: u64) -> bool {
-        self.limits.heard(at(ms), &start(), at(sent_ms), NamedLimit::Unsaid)
+        self.limits.record_report(at(ms), &start(), at(sent_ms), NamedLimit::Unsaid)
     }
 
     fn limit(&self) -> Option<f64> {
@@ -142,10 +142,10 @@
 #[test]
 fn what_cannot_be_read_changes_nothing() {
     let mut entry = Entry::limited(0, 1, 2.2);
-    assert!(!entry.limits.heard(at(900), &start(), at(800), NamedLimit::Unknown));
+    assert!(!entry.limits.record_report(at(900), &start(), at(800), NamedLimit::Unknown));
     assert_eq!(entry.limit(), Some(2.2));
     let mut other = Entry::of(0, 1);
-    assert!(!other.limits.heard(at(900), &start(), at(800), NamedLimit::Unknown));
+    assert!(!other.limits.record_report(at(900), &start(), at(800), NamedLimit::Unknown));
     assert_eq!(other.place(900), SlotAvailability::Unbounded);
 }
 
