--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -235,7 +235,7 @@
             log::info!(feed:? = self.feed; "store reached");
         }
         self.is_reached = Some(true);
-        self.state.heard(self.feed);
+        self.state.mark_received(self.feed);
     }
 
     fn failed(&mut self, error: &ControlStoreError) {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -198,8 +198,8 @@
     }
 
     /// News of a feed came.
-    pub(crate) fn heard(&self, feed: Feed) {
-        self.suspend_recovery.heard(feed);
+    pub(crate) fn mark_received(&self, feed: Feed) {
+        self.suspend_recovery.mark_received(feed);
         self.informed.notify_waiters();
     }
 
--- a/crates/gateway/src/suspend_recovery.rs
+++ b/crates/gateway/src/suspend_recovery.rs
@@ -37,7 +37,7 @@
     }
 
     /// News of a feed came, that were asked for since.
-    pub fn heard(&mut self, feed: Feed) {
+    pub fn mark_received(&mut self, feed: Feed) {
         self.missing.retain(|missing| *missing != feed);
     }
 
@@ -86,8 +86,8 @@
     }
 
     /// News of a feed came.
-    pub(crate) fn heard(&self, feed: Feed) {
-        self.shared.lock().catching_up.heard(feed);
+    pub(crate) fn mark_received(&self, feed: Feed) {
+        self.shared.lock().catching_up.mark_received(feed);
     }
 
     /// Whether requests have to wait until news are here.
--- a/tests/all/gateway/suspension.rs
+++ b/tests/all/gateway/suspension.rs
@@ -168,10 +168,10 @@
 fn an_entry_catches_up_until_it_has_heard_of_both() {
     let mut catching_up = CatchingUp::since(at_ms(0));
     assert!(catching_up.is_needed(at_ms(0)));
-    catching_up.heard(Feed::Entries);
-    catching_up.heard(Feed::Operators);
+    catching_up.mark_received(Feed::Entries);
+    catching_up.mark_received(Feed::Operators);
     assert!(catching_up.is_needed(at_ms(1)));
-    catching_up.heard(Feed::Members);
+    catching_up.mark_received(Feed::Members);
     assert!(!catching_up.is_needed(at_ms(1)));
 }
 
