--- a/benches/support/ends_decisions.rs
+++ b/benches/support/ends_decisions.rs
@@ -51,13 +51,13 @@
         if attempts > 0 {
             return false;
         }
-        let Some(change) = self.books[entry].begin_try(self.now, print) else {
+        let Some(change) = self.books[entry].begin_trial(self.now, print) else {
             return false;
         };
         let is_agreed = self.commit(print, change.expected, change.record);
         self.requests[number].is_trying = is_agreed;
         if !is_agreed {
-            self.books[entry].end_try(self.now, print);
+            self.books[entry].end_trial(self.now, print);
         }
         is_agreed
     }
--- a/crates/gateway/src/fatal/book.rs
+++ b/crates/gateway/src/fatal/book.rs
@@ -209,7 +209,7 @@
         request: RequestFingerprint,
     ) -> Option<Self> {
         let book = &state.fatal;
-        let change = book.change(|requests| requests.begin_try(state.now(), request))?;
+        let change = book.change(|requests| requests.begin_trial(state.now(), request))?;
         let begun = Self { state: Arc::clone(state), request };
         let (answer, answered) = oneshot::channel();
         book.claims.try_send(Claim { request, change, answer }).ok()?;
@@ -220,6 +220,6 @@
 impl Drop for Try {
     fn drop(&mut self) {
         let now = self.state.now();
-        self.state.fatal.change(|requests| requests.end_try(now, self.request));
+        self.state.fatal.change(|requests| requests.end_trial(now, self.request));
     }
 }
--- a/crates/policy/src/fatal/mod.rs
+++ b/crates/policy/src/fatal/mod.rs
@@ -273,12 +273,16 @@
 
     /// A request is to be tried again by this entry. Gives what the store has to agree to; none when
     /// it is not to be tried now.
-    pub fn begin_try(&mut self, now: MonoTime, request: RequestFingerprint) -> Option<FatalChange> {
+    pub fn begin_trial(
+        &mut self,
+        now: MonoTime,
+        request: RequestFingerprint,
+    ) -> Option<FatalChange> {
         if self.verdict(now, request) != Disposition::MayTry {
             return None;
         }
         let record = self.records.get_mut(&request)?;
-        let trying = record.standing.held()?.begin_try(now, &self.config);
+        let trying = record.standing.held()?.begin_trial(now, &self.config);
         record.standing = Standing::Trying(trying);
         let stored = FatalRecord { tries: trying.held().tries(), ends: record.count_u32() };
         let expected = record.row.map(|row| row.version);
@@ -286,7 +290,7 @@
     }
 
     /// A try is over, or the store did not agree to it. One that had an outcome has told it before.
-    pub fn end_try(&mut self, now: MonoTime, request: RequestFingerprint) {
+    pub fn end_trial(&mut self, now: MonoTime, request: RequestFingerprint) {
         if let Some(record) = self.records.get_mut(&request)
             && let Standing::Trying(trying) = record.standing
         {
--- a/crates/policy/src/fatal/standing.rs
+++ b/crates/policy/src/fatal/standing.rs
@@ -64,7 +64,7 @@
         (self.tries < config.max_tries).then(|| self.since.after(config.try_after))
     }
 
-    pub(super) fn begin_try(self, now: MonoTime, config: &FatalConfig) -> Trying {
+    pub(super) fn begin_trial(self, now: MonoTime, config: &FatalConfig) -> Trying {
         let held = Self { tries: self.tries + 1, ..self };
         Trying { held, until: now.after(config.try_lasts) }
     }
--- a/tests/all/decisions/fatal.rs
+++ b/tests/all/decisions/fatal.rs
@@ -166,10 +166,10 @@
     let later = at_ms(60_000);
     let mut requests = after(&[1, 2, 3].map(|upstream| (FATAL, upstream)));
     assert!(matches!(requests.verdict(later, request(FATAL)), Disposition::HeldBack { .. }));
-    assert!(requests.begin_try(later, request(FATAL)).is_none());
+    assert!(requests.begin_trial(later, request(FATAL)).is_none());
     requests.stored(later, request(FATAL), StoreVersion::of(7), record(0));
-    assert!(requests.begin_try(later, request(FATAL)).is_none(), "it was stored just now");
-    let change = requests.begin_try(at_ms(65_000), request(FATAL)).expect("it is due");
+    assert!(requests.begin_trial(later, request(FATAL)).is_none(), "it was stored just now");
+    let change = requests.begin_trial(at_ms(65_000), request(FATAL)).expect("it is due");
     assert_eq!(change.expected, Some(StoreVersion::of(7)));
     assert_eq!(change.record.map(|record| record.tries), Some(1));
 }
@@ -177,27 +177,27 @@
 #[test]
 fn one_try_at_a_time() {
     let mut requests = stored(0);
-    assert!(requests.begin_try(at_ms(5_000), request(FATAL)).is_some());
-    assert!(requests.begin_try(at_ms(5_001), request(FATAL)).is_none());
-    requests.end_try(at_ms(6_000), request(FATAL));
-    assert!(requests.begin_try(at_ms(10_999), request(FATAL)).is_none());
-    assert!(requests.begin_try(at_ms(11_000), request(FATAL)).is_some());
+    assert!(requests.begin_trial(at_ms(5_000), request(FATAL)).is_some());
+    assert!(requests.begin_trial(at_ms(5_001), request(FATAL)).is_none());
+    requests.end_trial(at_ms(6_000), request(FATAL));
+    assert!(requests.begin_trial(at_ms(10_999), request(FATAL)).is_none());
+    assert!(requests.begin_trial(at_ms(11_000), request(FATAL)).is_some());
 }
 
 #[test]
 fn it_is_tried_twice_in_all() {
-    assert!(stored(1).begin_try(at_ms(5_000), request(FATAL)).is_some());
+    assert!(stored(1).begin_trial(at_ms(5_000), request(FATAL)).is_some());
     let mut requests = stored(2);
-    assert!(requests.begin_try(at_ms(500_000), request(FATAL)).is_none());
+    assert!(requests.begin_trial(at_ms(500_000), request(FATAL)).is_none());
     assert_eq!(verdict(&requests, FATAL), Disposition::HeldBack { due: None });
 }
 
 #[test]
 fn an_end_at_a_try_holds_a_request_back_for_good() {
     let mut requests = stored(0);
-    requests.begin_try(at_ms(5_000), request(FATAL)).expect("it is due");
+    requests.begin_trial(at_ms(5_000), request(FATAL)).expect("it is due");
     requests.ended(at_ms(5_100), request(FATAL), UpstreamKey(4));
-    requests.end_try(at_ms(5_200), request(FATAL));
+    requests.end_trial(at_ms(5_200), request(FATAL));
     assert_eq!(
         requests.verdict(at_ms(500_000), request(FATAL)),
         Disposition::HeldBack { due: None }
@@ -211,9 +211,9 @@
 #[test]
 fn a_row_that_comes_late_does_not_allow_another_try() {
     let mut requests = stored(0);
-    requests.begin_try(at_ms(5_000), request(FATAL)).expect("it is due");
+    requests.begin_trial(at_ms(5_000), request(FATAL)).expect("it is due");
     requests.ended(at_ms(5_100), request(FATAL), UpstreamKey(4));
-    requests.end_try(at_ms(5_200), request(FATAL));
+    requests.end_trial(at_ms(5_200), request(FATAL));
     requests.stored(at_ms(5_300), request(FATAL), StoreVersion::of(8), record(1));
     assert_eq!(
         requests.verdict(at_ms(500_000), request(FATAL)),
@@ -225,7 +225,7 @@
 #[test]
 fn a_whole_answer_at_a_try_removes_the_row() {
     let mut requests = stored(0);
-    requests.begin_try(at_ms(5_000), request(FATAL)).expect("it is due");
+    requests.begin_trial(at_ms(5_000), request(FATAL)).expect("it is due");
     requests.stored(at_ms(5_010), request(FATAL), StoreVersion::of(8), record(1));
     assert!(requests.answered(at_ms(5_100), request(FATAL)));
     let changes = requests.changes(at_ms(5_200), Duration::ZERO);
