--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -13,8 +13,8 @@
 use clap::Command;
 use clap::value_parser;
 use serde::de::DeserializeOwned;
-use stallhoist_settings::Checked;
 use stallhoist_settings::SettingsError;
+use stallhoist_settings::Validate;
 use stallhoist_telemetry::LogLevel;
 use stallhoist_telemetry::LogOutput;
 use stallhoist_telemetry::flush_logging;
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 /// Fails with all that is wrong with the settings.
-pub fn begin<T: DeserializeOwned + Checked>(matches: &ArgMatches) -> Result<T, SettingsError> {
+pub fn begin<T: DeserializeOwned + Validate>(matches: &ArgMatches) -> Result<T, SettingsError> {
     let level = matches.get_one::<LogLevel>("log-level").copied().unwrap_or(LogLevel::Info);
     start_logging(level, LogOutput::Stdout);
     stallhoist_settings::load(&settings_path(matches))
@@ -79,7 +79,7 @@
 
     /// At each signal, reads and checks the settings anew and says what came of it. What
     /// has changed comes into force at the next start: a wrong file stops nothing that runs.
-    pub async fn check_settings<T: DeserializeOwned + Checked>(mut self, matches: ArgMatches) {
+    pub async fn check_settings<T: DeserializeOwned + Validate>(mut self, matches: ArgMatches) {
         while self.hang_up.recv().await.is_some() {
             match stallhoist_settings::load::<T>(&settings_path(&matches)) {
                 Ok(_) => log::info!("settings read anew, in force at the next start"),
--- a/crates/settings/src/admission.rs
+++ b/crates/settings/src/admission.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Checked;
 use crate::Problems;
+use crate::Validate;
 
 /// How a sidecar admits work to its upstream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
     }
 }
 
-impl Checked for AdmissionSettings {
+impl Validate for AdmissionSettings {
     fn check(&self, problems: &mut Problems) {
         problems.range("token_interval_target_ms", self.token_interval_target_ms, 1.0..=10_000.0);
         problems.range("max_in_flight_requests", self.max_in_flight_requests, 1..=100_000);
--- a/crates/settings/src/claims.rs
+++ b/crates/settings/src/claims.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Checked;
 use crate::Problems;
+use crate::Validate;
 
 /// How claims of idempotency keys are written.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -24,7 +24,7 @@
     }
 }
 
-impl Checked for ClaimSettings {
+impl Validate for ClaimSettings {
     fn check(&self, problems: &mut Problems) {
         problems.range("batch_ms", self.batch_ms, 0..=1_000);
         problems.range("max_batch", self.max_batch, 1..=1_000);
@@ -60,7 +60,7 @@
     }
 }
 
-impl Checked for BillSettings {
+impl Validate for BillSettings {
     fn check(&self, problems: &mut Problems) {
         problems.range("flush_ms", self.flush_ms, 10..=600_000);
         problems.range("max_batch", self.max_batch, 1..=10_000);
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -4,7 +4,6 @@
 use serde::Serialize;
 
 use crate::BillSettings;
-use crate::Checked;
 use crate::ClaimSettings;
 use crate::HostSettings;
 use crate::PlacementSettings;
@@ -13,6 +12,7 @@
 use crate::RetrySettings;
 use crate::Secret;
 use crate::TimingSettings;
+use crate::Validate;
 
 const MIN_KEY_LEN: usize = 16;
 
@@ -44,7 +44,7 @@
     }
 }
 
-impl Checked for CallerLimits {
+impl Validate for CallerLimits {
     fn check(&self, problems: &mut Problems) {
         problems.range("max_body_bytes", self.max_body_bytes, 1_024..=(32 << 20));
         problems.range("max_in_flight_requests", self.max_in_flight_requests, 1..=100_000);
@@ -68,7 +68,7 @@
     }
 }
 
-impl Checked for RatingSettings {
+impl Validate for RatingSettings {
     fn check(&self, problems: &mut Problems) {
         problems.range("sample_percent", self.sample_percent, 0.0..=100.0);
     }
@@ -138,7 +138,7 @@
     }
 }
 
-impl Checked for EntrySettings {
+impl Validate for EntrySettings {
     fn check(&self, problems: &mut Problems) {
         problems.section("host", &self.host);
         problems.address("callers_addr", &self.callers_addr);
--- a/crates/settings/src/gateway/cold_upstreams.rs
+++ b/crates/settings/src/gateway/cold_upstreams.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Checked;
 use crate::Problems;
+use crate::Validate;
 
 /// Above these nothing is bounded; what is greater still is taken for a mistake.
 const MAX_OVERAGE: f64 = 1_000.0;
@@ -26,7 +26,7 @@
     }
 }
 
-impl Checked for ColdUpstreamSettings {
+impl Validate for ColdUpstreamSettings {
     fn check(&self, problems: &mut Problems) {
         problems.range("overage", self.overage, 0.0..=MAX_OVERAGE);
         problems.range("slack_per_s", self.slack_per_s, 0.0..=MAX_SLACK_PER_S);
--- a/crates/settings/src/gateway/decisions.rs
+++ b/crates/settings/src/gateway/decisions.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Checked;
 use crate::Problems;
+use crate::Validate;
 
 /// Which mechanisms decide about models and upstreams. All are on; tests and measurements
 /// switch single ones off to see what they are worth.
@@ -35,7 +35,7 @@
     }
 }
 
-impl Checked for DecisionSettings {
+impl Validate for DecisionSettings {
     fn check(&self, problems: &mut Problems) {
         problems.range("held_up_by_reading", self.held_up_by_reading, 0.0..=100.0);
     }
--- a/crates/settings/src/gateway/retries.rs
+++ b/crates/settings/src/gateway/retries.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Checked;
 use crate::Problems;
+use crate::Validate;
 
 /// The part of the fleet's ratio that one entry uses, from 0 to 1. The rest is a reserve
 /// for requests that count at one entry and were sent to another.
@@ -55,7 +55,7 @@
     }
 }
 
-impl Checked for GatewayRetrySettings {
+impl Validate for GatewayRetrySettings {
     fn check(&self, problems: &mut Problems) {
         problems.range("fleet_ratio", self.fleet_ratio, 0.0..=MAX_RATIO);
         problems.range("fleet_slack", self.fleet_slack, 0.0..=MAX_SLACK);
--- a/crates/settings/src/gateway/rollouts.rs
+++ b/crates/settings/src/gateway/rollouts.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Checked;
 use crate::Problems;
+use crate::Validate;
 
 /// How new versions are brought in.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -21,7 +21,7 @@
     }
 }
 
-impl Checked for RolloutSettings {
+impl Validate for RolloutSettings {
     fn check(&self, problems: &mut Problems) {
         problems.range("max_exposure", self.max_exposure, 0.0..=1.0);
     }
--- a/crates/settings/src/gateway/step_up.rs
+++ b/crates/settings/src/gateway/step_up.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Checked;
 use crate::Problems;
+use crate::Validate;
 
 /// When an answer of a small model is dropped and a better one asked.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -21,7 +21,7 @@
     }
 }
 
-impl Checked for StepUpSettings {
+impl Validate for StepUpSettings {
     fn check(&self, problems: &mut Problems) {
         if self.below_confidence_percent.is_empty() {
             problems.add("below_confidence_percent", "must hold at least one number");
--- a/crates/settings/src/gateway/stop.rs
+++ b/crates/settings/src/gateway/stop.rs
@@ -3,9 +3,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Checked;
 use crate::Problems;
 use crate::TimeSpan;
+use crate::Validate;
 
 /// A day: no stop is waited for so long.
 const MAX_GRACE: TimeSpan = TimeSpan::from_secs(86_400);
@@ -24,7 +24,7 @@
     }
 }
 
-impl Checked for StopSettings {
+impl Validate for StopSettings {
     fn check(&self, problems: &mut Problems) {
         problems.range("grace", self.grace, TimeSpan::from_secs(0)..=MAX_GRACE);
     }
--- a/crates/settings/src/gateway/store.rs
+++ b/crates/settings/src/gateway/store.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Checked;
 use crate::Problems;
+use crate::Validate;
 
 /// Where the platform's store is, and how it is asked.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -25,7 +25,7 @@
     }
 }
 
-impl Checked for StoreSettings {
+impl Validate for StoreSettings {
     fn check(&self, problems: &mut Problems) {
         problems.address("addr", &self.addr);
         problems.range("follow_wait_ms", self.follow_wait_ms, 100..=30_000);
--- a/crates/settings/src/gateway/upstream_calls.rs
+++ b/crates/settings/src/gateway/upstream_calls.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Checked;
 use crate::Problems;
+use crate::Validate;
 
 /// How upstreams are called.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -24,7 +24,7 @@
     }
 }
 
-impl Checked for UpstreamCallSettings {
+impl Validate for UpstreamCallSettings {
     fn check(&self, problems: &mut Problems) {
         problems.range("connect_timeout_ms", self.connect_timeout_ms, 10..=10_000);
         problems.range("silence_timeout_ms", self.silence_timeout_ms, 500..=60_000);
--- a/crates/settings/src/gateway/whole.rs
+++ b/crates/settings/src/gateway/whole.rs
@@ -16,9 +16,9 @@
 use super::StopSettings;
 use super::StoreSettings;
 use super::UpstreamCallSettings;
-use crate::Checked;
 use crate::Problems;
 use crate::TimeSpan;
+use crate::Validate;
 
 /// All settings of a gateway.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -101,7 +101,7 @@
     }
 }
 
-impl Checked for GatewaySettings {
+impl Validate for GatewaySettings {
     fn check(&self, problems: &mut Problems) {
         problems.address("callers_addr", &self.callers_addr);
         problems.address("readiness_addr", &self.readiness_addr);
--- a/crates/settings/src/host.rs
+++ b/crates/settings/src/host.rs
@@ -5,9 +5,9 @@
 use stallhoist_core::HostId;
 use stallhoist_core::ZoneName;
 
-use crate::Checked;
 use crate::Problems;
 use crate::Secret;
+use crate::Validate;
 
 const MIN_KEY_LEN: usize = 16;
 
@@ -25,7 +25,7 @@
     pub operators_key: Secret,
 }
 
-impl Checked for HostSettings {
+impl Validate for HostSettings {
     fn check(&self, problems: &mut Problems) {
         for (key, secret) in
             [("fleet_key", &self.fleet_key), ("operators_key", &self.operators_key)]
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -15,11 +15,11 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::Checked;
 use crate::Problems;
 use crate::SettingsError;
 use crate::SettingsProblem;
 use crate::SettingsProblems;
+use crate::Validate;
 
 const MAX_PROBLEMS: usize = 20;
 const MAX_SHOWN_VALUE_CHARS: usize = 60;
@@ -30,7 +30,7 @@
 /// # Errors
 /// Fails with all that is wrong: unreadable, not JSON with comments, unknown,
 /// doubled, missing or ill-typed keys, values out of range.
-pub fn load<T: DeserializeOwned + Checked>(path: &Path) -> Result<T, SettingsError> {
+pub fn load<T: DeserializeOwned + Validate>(path: &Path) -> Result<T, SettingsError> {
     let text = fs::read_to_string(path)
         .map_err(|cause| SettingsError::Unreadable { path: path.to_owned(), cause })?;
     parse(&path.display().to_string(), &text)
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 /// As [`load`].
-pub fn parse<T: DeserializeOwned + Checked>(file: &str, text: &str) -> Result<T, SettingsError> {
+pub fn parse<T: DeserializeOwned + Validate>(file: &str, text: &str) -> Result<T, SettingsError> {
     let tree = parse_tree(file, text)?;
     let mut problems = doubled_keys(&tree, text);
     let parsed = read::<T>(&tree, text, &mut problems);
--- a/crates/settings/src/placement.rs
+++ b/crates/settings/src/placement.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Checked;
 use crate::Problems;
+use crate::Validate;
 
 /// How an entry chooses an upstream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
     }
 }
 
-impl Checked for PlacementSettings {
+impl Validate for PlacementSettings {
     fn check(&self, problems: &mut Problems) {
         problems.range("subset_size", self.subset_size, 1..=1_000);
         problems.range("probes", self.probes, 1..=16);
@@ -77,7 +77,7 @@
     }
 }
 
-impl Checked for RetrySettings {
+impl Validate for RetrySettings {
     fn check(&self, problems: &mut Problems) {
         problems.range("max_attempts", self.max_attempts, 1..=10);
         problems.range("budget_percent", self.budget_percent, 0..=100);
--- a/crates/settings/src/problems.rs
+++ b/crates/settings/src/problems.rs
@@ -5,7 +5,7 @@
 use std::ops::RangeInclusive;
 
 /// A section that checks its own values.
-pub trait Checked {
+pub trait Validate {
     /// Says all that is wrong.
     fn check(&self, problems: &mut Problems);
 }
@@ -19,7 +19,7 @@
 
 impl Problems {
     /// Checks a section under its key.
-    pub fn section(&mut self, key: &'static str, section: &impl Checked) {
+    pub fn section(&mut self, key: &'static str, section: &impl Validate) {
         self.section.push(key);
         section.check(self);
         self.section.pop();
--- a/crates/settings/src/service.rs
+++ b/crates/settings/src/service.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Checked;
 use crate::Problems;
+use crate::Validate;
 
 /// Where the platform's services are, and how patient to be with them.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -46,7 +46,7 @@
     }
 }
 
-impl Checked for PlatformSettings {
+impl Validate for PlatformSettings {
     fn check(&self, problems: &mut Problems) {
         problems.http_url("url", &self.url);
         problems.range("call_timeout_ms", self.call_timeout_ms, 10..=30_000);
--- a/crates/settings/src/sidecar.rs
+++ b/crates/settings/src/sidecar.rs
@@ -5,12 +5,12 @@
 
 use crate::AdmissionSettings;
 use crate::BillSettings;
-use crate::Checked;
 use crate::HostSettings;
 use crate::PlatformSettings;
 use crate::Problems;
 use crate::TimingSettings;
 use crate::UpstreamSettings;
+use crate::Validate;
 
 /// All settings of a sidecar.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -68,7 +68,7 @@
     }
 }
 
-impl Checked for SidecarSettings {
+impl Validate for SidecarSettings {
     fn check(&self, problems: &mut Problems) {
         problems.section("host", &self.host);
         problems.address("entries_addr", &self.entries_addr);
--- a/crates/settings/src/timing.rs
+++ b/crates/settings/src/timing.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::Checked;
 use crate::Problems;
+use crate::Validate;
 
 /// How often processes speak to each other and how long they wait.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
     }
 }
 
-impl Checked for TimingSettings {
+impl Validate for TimingSettings {
     fn check(&self, problems: &mut Problems) {
         problems.range("heartbeat_ms", self.heartbeat_ms, 20..=60_000);
         problems.range("peer_timeout_ms", self.peer_timeout_ms, 50..=120_000);
--- a/crates/settings/src/upstream.rs
+++ b/crates/settings/src/upstream.rs
@@ -4,8 +4,8 @@
 use serde::Serialize;
 use stallhoist_core::Target;
 
-use crate::Checked;
 use crate::Problems;
+use crate::Validate;
 
 /// What kind of upstream stands behind a sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
     pub serves: Vec<Target>,
 }
 
-impl Checked for UpstreamSettings {
+impl Validate for UpstreamSettings {
     fn check(&self, problems: &mut Problems) {
         problems.http_url("url", &self.url);
         if self.serves.is_empty() {
--- a/tests/all/settings.rs
+++ b/tests/all/settings.rs
@@ -4,10 +4,10 @@
 
 use expect_test::Expect;
 use expect_test::expect;
-use stallhoist_settings::Checked;
 use stallhoist_settings::EntrySettings;
 use stallhoist_settings::GatewaySettings;
 use stallhoist_settings::SidecarSettings;
+use stallhoist_settings::Validate;
 use stallhoist_settings::load;
 use stallhoist_settings::parse;
 
@@ -40,7 +40,7 @@
     parse::<EntrySettings>("entry.jsonc", ENTRY).expect("it is taken");
 }
 
-fn example_is_right<T: serde::de::DeserializeOwned + Checked>(name: &str) {
+fn example_is_right<T: serde::de::DeserializeOwned + Validate>(name: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples").join(name);
     load::<T>(&path).map(|_| ()).expect("the example is right");
 }
