--- a/benches/store_return.rs
+++ b/benches/store_return.rs
@@ -113,7 +113,7 @@
     fleet.all(|state| state["config_version"] == 2).await;
     let before = fleet.calls();
     let began = Instant::now();
-    fleet.store.come_back_from(copy);
+    fleet.store.restore_from(copy);
     fleet.store.put("op", "config", config(3));
     fleet.all(|state| state["config_version"] == 3).await;
     let in_force = began.elapsed();
--- a/crates/standins/src/users_platform/store.rs
+++ b/crates/standins/src/users_platform/store.rs
@@ -142,8 +142,8 @@
 
     /// Comes back from a copy: all that was written since is gone. Calls that wait are cut off. Gives
     /// what operators and upstreams have lost.
-    pub fn come_back_from(&self, copy: StoreCopy) -> LostWrites {
-        let lost = self.shared.state.lock().come_back_from(copy);
+    pub fn restore_from(&self, copy: StoreCopy) -> LostWrites {
+        let lost = self.shared.state.lock().restore_from(copy);
         self.shared.changed.notify_waiters();
         lost
     }
--- a/crates/standins/src/users_platform/store_state.rs
+++ b/crates/standins/src/users_platform/store_state.rs
@@ -85,7 +85,7 @@
     }
 
     /// Comes back from a copy: what was written since is gone, and versions are given out again.
-    pub(super) fn come_back_from(&mut self, copy: StoreCopy) -> LostWrites {
+    pub(super) fn restore_from(&mut self, copy: StoreCopy) -> LostWrites {
         self.rows = copy.rows;
         self.version = copy.version;
         self.era += 1;
--- a/tests/all/gateway/store_returns.rs
+++ b/tests/all/gateway/store_returns.rs
@@ -62,7 +62,7 @@
     others_write(&fleet.store);
     fleet.store.put("op", "config", config(2));
     fleet.wait_for_version(2).await;
-    fleet.store.come_back_from(copy);
+    fleet.store.restore_from(copy);
     fleet.store.put("op", "config", config(3));
     for _ in 0..3 {
         others_write(&fleet.store);
@@ -86,11 +86,11 @@
     others_write(&fleet.store);
     fleet.store.put("op", "config", config(2));
     fleet.wait_for_version(2).await;
-    fleet.store.come_back_from(first);
+    fleet.store.restore_from(first);
     let second = fleet.store.copy();
     others_write(&fleet.store);
     fleet.store.put("op", "config", config(3));
-    fleet.store.come_back_from(second);
+    fleet.store.restore_from(second);
     fleet.store.put("op", "config", config(4));
     others_write(&fleet.store);
     fleet.wait_for_version(4).await;
@@ -99,7 +99,7 @@
 // An answer that was long on its way, or comes by another entry that has not noticed.
 case!(an_answer_of_an_earlier_era_changes_nothing, async {
     let fleet = Fleet::of(3).await;
-    fleet.store.come_back_from(fleet.store.copy());
+    fleet.store.restore_from(fleet.store.copy());
     fleet.store.put("op", "config", config(2));
     fleet.wait_for_version(2).await;
     fleet.store.tell_era(Some(0));
@@ -118,7 +118,7 @@
 case!(entries_list_themselves_again, async {
     let fleet = Fleet::of(3).await;
     fleet.wait_until_listed().await;
-    fleet.store.come_back_from(StoreCopy::default());
+    fleet.store.restore_from(StoreCopy::default());
     fleet.store.put("op", "config", config(2));
     fleet.wait_until_listed().await;
 });
@@ -131,7 +131,7 @@
     write_again: impl Fn(&StoreStandin),
     ask: impl AsyncFn(usize),
 ) {
-    world.store.come_back_from(copy);
+    world.store.restore_from(copy);
     let began = Instant::now();
     let mut is_written = false;
     for n in 0.. {
@@ -181,7 +181,7 @@
 // One that has gone is given up, once it had time to be listed again.
 case!(an_upstream_that_is_not_listed_again_is_given_up, async {
     let (world, copy, _) = with_one_since_the_copy().await;
-    world.store.come_back_from(copy);
+    world.store.restore_from(copy);
     wait_until("it is given up", async || {
         !world.dump().await["upstreams"].to_string().contains("i-0")
     })
@@ -261,7 +261,7 @@
     order(&world, 600.0);
     wait_for_status(&world, "running").await;
     wait_for_record(&world).await;
-    world.store.come_back_from(copy);
+    world.store.restore_from(copy);
     order(&world, 3.0);
     ask_until(&world, "completed").await;
 });
@@ -296,7 +296,7 @@
         assert_eq!(ask(n).await, 502);
     }
     wait_until("the store has it", async || rows().len() == 1).await;
-    world.store.come_back_from(copy);
+    world.store.restore_from(copy);
     wait_until("the store has it again", async || {
         let status = ask(rand::random_range(10..1_000_000)).await;
         assert!(status == 503 || status == 502, "{status}");
--- a/tests/all/soak/faults.rs
+++ b/tests/all/soak/faults.rs
@@ -173,7 +173,7 @@
         let copy = self.store.copy();
         let store = Arc::clone(&self.store);
         self.recover_after(lasts, async move {
-            let lost = store.come_back_from(copy);
+            let lost = store.restore_from(copy);
             store.write_again(lost);
         });
     }
