--- a/benches/support/ends_world.rs
+++ b/benches/support/ends_world.rs
@@ -314,7 +314,7 @@
         let Request { entry, print, body, attempts, ends, is_trying, .. } = *request;
         let keeps = matches!(self.setting.policy, Policy::Kept | Policy::Alone);
         if is_late {
-            self.books[entry].broke(self.now, print, upstream);
+            self.books[entry].record_broken_stream(self.now, print, upstream);
         }
         let is_new = keeps && !is_late && self.books[entry].ended(self.now, print, upstream);
         let uncounted = if keeps && !is_late { ends.min(UNCOUNTED_ENDS) } else { 0 };
--- a/crates/gateway/src/fatal/book.rs
+++ b/crates/gateway/src/fatal/book.rs
@@ -102,13 +102,13 @@
     }
 
     /// The answer of a request broke off, and it does not show yet whether its upstream has ended.
-    pub(crate) fn broke(
+    pub(crate) fn record_broken_stream(
         &self,
         now: MonoTime,
         request: RequestFingerprint,
         start: &UpstreamIncarnation,
     ) {
-        self.change(|requests| requests.broke(now, request, UpstreamKey::of(start)));
+        self.change(|requests| requests.record_broken_stream(now, request, UpstreamKey::of(start)));
     }
 
     /// It shows that a start of an upstream has ended, which had not said that it leaves.
--- a/crates/gateway/src/request/execution/break_off.rs
+++ b/crates/gateway/src/request/execution/break_off.rs
@@ -35,7 +35,7 @@
             state.fatal.ended(now, self.call.fingerprint(), start);
             state.confirm_termination(start);
         } else if cause.may_show_later() && !state.suspend_recovery.is_catching_up() {
-            state.fatal.broke(state.now(), self.call.fingerprint(), start);
+            state.fatal.record_broken_stream(state.now(), self.call.fingerprint(), start);
         }
         self.log_break(start, has_ended);
         if has_ended && state.peers.lock().count() > 1 {
--- a/crates/policy/src/fatal/breaks.rs
+++ b/crates/policy/src/fatal/breaks.rs
@@ -38,7 +38,7 @@
         self.count == 0
     }
 
-    pub(super) fn broke(
+    pub(super) fn record_broken_stream(
         &mut self,
         now: MonoTime,
         request: RequestFingerprint,
--- a/crates/policy/src/fatal/mod.rs
+++ b/crates/policy/src/fatal/mod.rs
@@ -144,8 +144,13 @@
     }
 
     /// The answer of a request broke off, and its upstream may have ended.
-    pub fn broke(&mut self, now: MonoTime, request: RequestFingerprint, upstream: UpstreamKey) {
-        self.breaks.broke(now, request, upstream);
+    pub fn record_broken_stream(
+        &mut self,
+        now: MonoTime,
+        request: RequestFingerprint,
+        upstream: UpstreamKey,
+    ) {
+        self.breaks.record_broken_stream(now, request, upstream);
     }
 
     /// It shows that an upstream has ended, however that is learnt: what broke off there lately did so
--- a/tests/all/decisions/fatal.rs
+++ b/tests/all/decisions/fatal.rs
@@ -342,7 +342,7 @@
 fn broke_off_then_ended(after_ms: u64) -> FatalRequests {
     let mut requests = FatalRequests::default();
     for upstream in 1..=3 {
-        requests.broke(at_ms(0), request(FATAL), UpstreamKey(upstream));
+        requests.record_broken_stream(at_ms(0), request(FATAL), UpstreamKey(upstream));
     }
     assert_eq!(verdict(&requests, FATAL), Disposition::Free);
     for upstream in 1..=3 {
@@ -367,17 +367,17 @@
 #[test]
 fn an_end_that_shows_twice_counts_once() {
     let mut requests = FatalRequests::default();
-    requests.broke(at_ms(0), request(FATAL), UpstreamKey(1));
+    requests.record_broken_stream(at_ms(0), request(FATAL), UpstreamKey(1));
     assert_eq!(requests.upstream_ended(at_ms(10), UpstreamKey(1)), [request(FATAL)]);
     assert!(requests.upstream_ended(at_ms(20), UpstreamKey(1)).is_empty());
-    requests.broke(at_ms(30), request(FATAL), UpstreamKey(1));
+    requests.record_broken_stream(at_ms(30), request(FATAL), UpstreamKey(1));
     assert!(requests.upstream_ended(at_ms(40), UpstreamKey(1)).is_empty());
 }
 
 #[test]
 fn what_is_open_is_forgotten_after_a_while() {
     let mut requests = FatalRequests::default();
-    requests.broke(at_ms(0), request(FATAL), UpstreamKey(1));
+    requests.record_broken_stream(at_ms(0), request(FATAL), UpstreamKey(1));
     requests.expire(at_ms(5_999));
     assert!(requests.has_open_breaks());
     requests.expire(at_ms(6_000));
