--- a/benches/support/ends_world.rs
+++ b/benches/support/ends_world.rs
@@ -182,7 +182,7 @@
                 self.upstreams[upstream].is_up = true;
             }
             Event::Shown(entry, upstream) => {
-                let requests = self.books[entry].upstream_ended(self.now, upstream);
+                let requests = self.books[entry].record_termination(self.now, upstream);
                 let news = |request| CrashUpdate { request, upstream, is_cleared: false };
                 self.tell(entry, &requests.into_iter().map(news).collect::<Vec<_>>());
             }
--- a/crates/gateway/src/fatal/book.rs
+++ b/crates/gateway/src/fatal/book.rs
@@ -112,11 +112,12 @@
     }
 
     /// It shows that a start of an upstream has ended, which had not said that it leaves.
-    pub(crate) fn upstream_ended(&self, now: MonoTime, start: &UpstreamIncarnation) {
+    pub(crate) fn record_termination(&self, now: MonoTime, start: &UpstreamIncarnation) {
         if !self.has_open_breaks() {
             return;
         }
-        let broken = self.change(|requests| requests.upstream_ended(now, UpstreamKey::of(start)));
+        let broken =
+            self.change(|requests| requests.record_termination(now, UpstreamKey::of(start)));
         for request in broken {
             log::info!(fingerprint:% = request, instance:% = start; "its answer broke off as the upstream ended");
             self.note_new(now, request, start);
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -274,7 +274,7 @@
     /// it had said that it leaves: then it ended as planned.
     pub(crate) fn confirm_termination(&self, start: &UpstreamIncarnation) {
         if !self.upstreams.has_announced(start) {
-            self.fatal.upstream_ended(self.now(), start);
+            self.fatal.record_termination(self.now(), start);
         }
     }
 
--- a/crates/policy/src/fatal/mod.rs
+++ b/crates/policy/src/fatal/mod.rs
@@ -155,7 +155,7 @@
 
     /// It shows that an upstream has ended, however that is learnt: what broke off there lately did so
     /// by its end. Gives the requests for which that is new.
-    pub fn upstream_ended(
+    pub fn record_termination(
         &mut self,
         now: MonoTime,
         upstream: UpstreamKey,
--- a/tests/all/decisions/fatal.rs
+++ b/tests/all/decisions/fatal.rs
@@ -346,7 +346,7 @@
     }
     assert_eq!(verdict(&requests, FATAL), Disposition::Free);
     for upstream in 1..=3 {
-        requests.upstream_ended(at_ms(after_ms), UpstreamKey(upstream));
+        requests.record_termination(at_ms(after_ms), UpstreamKey(upstream));
     }
     requests
 }
@@ -368,10 +368,10 @@
 fn an_end_that_shows_twice_counts_once() {
     let mut requests = FatalRequests::default();
     requests.record_broken_stream(at_ms(0), request(FATAL), UpstreamKey(1));
-    assert_eq!(requests.upstream_ended(at_ms(10), UpstreamKey(1)), [request(FATAL)]);
-    assert!(requests.upstream_ended(at_ms(20), UpstreamKey(1)).is_empty());
+    assert_eq!(requests.record_termination(at_ms(10), UpstreamKey(1)), [request(FATAL)]);
+    assert!(requests.record_termination(at_ms(20), UpstreamKey(1)).is_empty());
     requests.record_broken_stream(at_ms(30), request(FATAL), UpstreamKey(1));
-    assert!(requests.upstream_ended(at_ms(40), UpstreamKey(1)).is_empty());
+    assert!(requests.record_termination(at_ms(40), UpstreamKey(1)).is_empty());
 }
 
 #[test]
