--- a/benches/support/ends_world.rs
+++ b/benches/support/ends_world.rs
@@ -316,7 +316,7 @@
         if is_late {
             self.books[entry].record_broken_stream(self.now, print, upstream);
         }
-        let is_new = keeps && !is_late && self.books[entry].ended(self.now, print, upstream);
+        let is_new = keeps && !is_late && self.books[entry].record_crash(self.now, print, upstream);
         let uncounted = if keeps && !is_late { ends.min(UNCOUNTED_ENDS) } else { 0 };
         if attempts - uncounted < ATTEMPTS && !is_trying {
             self.add(PAUSE_S, Event::Go(number));
--- a/crates/gateway/src/fatal/book.rs
+++ b/crates/gateway/src/fatal/book.rs
@@ -82,13 +82,13 @@
     }
 
     /// An upstream has ended while it ran a request.
-    pub(crate) fn ended(
+    pub(crate) fn record_crash(
         &self,
         now: MonoTime,
         request: RequestFingerprint,
         start: &UpstreamIncarnation,
     ) {
-        if self.change(|requests| requests.ended(now, request, UpstreamKey::of(start))) {
+        if self.change(|requests| requests.record_crash(now, request, UpstreamKey::of(start))) {
             self.note_new(now, request, start);
         }
     }
--- a/crates/gateway/src/request/execution/break_off.rs
+++ b/crates/gateway/src/request/execution/break_off.rs
@@ -32,7 +32,7 @@
             let now = state.now();
             state.metrics.upstream_ends.inc();
             state.upstreams.observe(now, start, Evidence::Ended);
-            state.fatal.ended(now, self.call.fingerprint(), start);
+            state.fatal.record_crash(now, self.call.fingerprint(), start);
             state.confirm_termination(start);
         } else if cause.may_show_later() && !state.suspend_recovery.is_catching_up() {
             state.fatal.record_broken_stream(state.now(), self.call.fingerprint(), start);
--- a/crates/policy/src/fatal/mod.rs
+++ b/crates/policy/src/fatal/mod.rs
@@ -109,7 +109,7 @@
     }
 
     /// An upstream has ended while it ran a request, at this entry. Says whether that is new.
-    pub fn ended(
+    pub fn record_crash(
         &mut self,
         now: MonoTime,
         request: RequestFingerprint,
--- a/tests/all/decisions/fatal.rs
+++ b/tests/all/decisions/fatal.rs
@@ -33,7 +33,7 @@
 fn after(ends: &[(u32, u64)]) -> FatalRequests {
     let mut requests = FatalRequests::default();
     for (n, upstream) in ends {
-        requests.ended(at_ms(0), request(*n), UpstreamKey(*upstream));
+        requests.record_crash(at_ms(0), request(*n), UpstreamKey(*upstream));
     }
     requests
 }
@@ -128,7 +128,7 @@
     let fatal = [1, 2, 3, 4].map(|upstream| (FATAL, upstream));
     let mut requests = after(&[&fatal[..], &[(OTHER_FATAL, 1), (OTHER_FATAL, 2)]].concat());
     assert_eq!(verdict(&requests, OTHER_FATAL), Disposition::Suspect);
-    requests.ended(at_ms(1), request(OTHER_FATAL), UpstreamKey(5));
+    requests.record_crash(at_ms(1), request(OTHER_FATAL), UpstreamKey(5));
     assert!(is_held(&requests, OTHER_FATAL));
 }
 
@@ -140,7 +140,7 @@
     // Others still tell of the ends, which are no news.
     assert_eq!(requests.apply_peer_update(at_ms(2), [news(BYSTANDER, 3, false)]), 0);
     assert_eq!(verdict(&requests, BYSTANDER), Disposition::Free);
-    requests.ended(at_ms(3), request(BYSTANDER), UpstreamKey(4));
+    requests.record_crash(at_ms(3), request(BYSTANDER), UpstreamKey(4));
     assert_eq!(verdict(&requests, BYSTANDER), Disposition::Suspect);
 }
 
@@ -196,7 +196,7 @@
 fn an_end_at_a_try_holds_a_request_back_for_good() {
     let mut requests = stored(0);
     requests.begin_trial(at_ms(5_000), request(FATAL)).expect("it is due");
-    requests.ended(at_ms(5_100), request(FATAL), UpstreamKey(4));
+    requests.record_crash(at_ms(5_100), request(FATAL), UpstreamKey(4));
     requests.end_trial(at_ms(5_200), request(FATAL));
     assert_eq!(
         requests.verdict(at_ms(500_000), request(FATAL)),
@@ -212,7 +212,7 @@
 fn a_row_that_comes_late_does_not_allow_another_try() {
     let mut requests = stored(0);
     requests.begin_trial(at_ms(5_000), request(FATAL)).expect("it is due");
-    requests.ended(at_ms(5_100), request(FATAL), UpstreamKey(4));
+    requests.record_crash(at_ms(5_100), request(FATAL), UpstreamKey(4));
     requests.end_trial(at_ms(5_200), request(FATAL));
     requests.stored(at_ms(5_300), request(FATAL), StoreVersion::of(8), record(1));
     assert_eq!(
@@ -259,10 +259,10 @@
     let config = FatalConfig { max_requests: 4, ..FatalConfig::default() };
     let mut requests = FatalRequests::new(config);
     for upstream in 1..=3 {
-        requests.ended(at_ms(0), request(FATAL), UpstreamKey(upstream));
+        requests.record_crash(at_ms(0), request(FATAL), UpstreamKey(upstream));
     }
     for n in 100..200 {
-        requests.ended(at_ms(u64::from(n)), request(n), UpstreamKey(u64::from(n)));
+        requests.record_crash(at_ms(u64::from(n)), request(n), UpstreamKey(u64::from(n)));
     }
     assert!(is_held(&requests, FATAL));
     assert_eq!(verdict(&requests, 100), Disposition::Free);
