--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -24,7 +24,7 @@
 use stallhoist_measure::WorkloadShape;
 use stallhoist_measure::percentile;
 use stallhoist_policy::admission::AdmissionConfig;
-use stallhoist_policy::balance::WorkItem;
+use stallhoist_policy::balance::PrefillWork;
 use stallhoist_policy::placement::Candidate;
 use stallhoist_policy::placement::Choice;
 use stallhoist_policy::placement::ProbePlan;
@@ -146,7 +146,7 @@
     next_in_turn: Vec<usize>,
     knowledge: Vec<OwnKnowledge>,
     /// By request: the entry, the upstream, and the work that it was reckoned to be.
-    sent_by: HashMap<usize, (usize, usize, WorkItem)>,
+    sent_by: HashMap<usize, (usize, usize, PrefillWork)>,
     probes: usize,
     rng: StdRng,
 }
@@ -182,11 +182,16 @@
     }
 
     /// Chooses an upstream, and says what work the request is reckoned to be there.
-    fn place(&mut self, now: MonoTime, entry: usize, request: &FakeRequest) -> (usize, WorkItem) {
+    fn place(
+        &mut self,
+        now: MonoTime,
+        entry: usize,
+        request: &FakeRequest,
+    ) -> (usize, PrefillWork) {
         if self.policy == Policy::OwnKnowledge {
             return self.knowledge[entry].send(now, request);
         }
-        (self.place_without_work(now, entry, request), WorkItem::default())
+        (self.place_without_work(now, entry, request), PrefillWork::default())
     }
 
     fn place_without_work(&mut self, now: MonoTime, entry: usize, request: &FakeRequest) -> usize {
--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -10,11 +10,11 @@
 use stallhoist_measure::FakeRequest;
 use stallhoist_policy::balance::BalanceConfig;
 use stallhoist_policy::balance::CandidateFacts;
+use stallhoist_policy::balance::PrefillWork;
 use stallhoist_policy::balance::PrefixCaches;
 use stallhoist_policy::balance::ReadingTime;
 use stallhoist_policy::balance::RequestFacts;
 use stallhoist_policy::balance::UpstreamLoad;
-use stallhoist_policy::balance::WorkItem;
 use stallhoist_policy::balance::expected_cost_ms;
 
 /// The fake engines take in a prompt token in 100 us.
@@ -48,7 +48,7 @@
     }
 
     /// Chooses the upstream that is expected to cost least, and sends the request there.
-    pub(crate) fn send(&mut self, now: MonoTime, request: &FakeRequest) -> (usize, WorkItem) {
+    pub(crate) fn send(&mut self, now: MonoTime, request: &FakeRequest) -> (usize, PrefillWork) {
         let facts = RequestFacts {
             prompt_tokens: request.prompt_tokens,
             reading: ReadingTime { base_ms: 0.0, ms_per_token: MS_PER_TOKEN },
@@ -66,20 +66,20 @@
         let instance = &self.instances[best];
         let read = self.prefixes.read_tokens(now, instance, &self.model, &parts);
         let unread = request.prompt_tokens.saturating_sub(read);
-        let work = WorkItem { remaining_prefill_ms: unread as f64 * MS_PER_TOKEN };
+        let work = PrefillWork { remaining_prefill_ms: unread as f64 * MS_PER_TOKEN };
         self.load.started(instance, work);
         self.prefixes.read(now, instance, &self.model, &parts);
         (best, work)
     }
 
     /// The first token came: the prompt has been read.
-    pub(crate) fn first_token(&mut self, at: usize, work: WorkItem) {
+    pub(crate) fn first_token(&mut self, at: usize, work: PrefillWork) {
         self.load.prompt_read(&self.instances[at], work);
     }
 
     /// The answer is whole.
     pub(crate) fn ended(&mut self, at: usize) {
-        self.load.ended(&self.instances[at], WorkItem::default());
+        self.load.ended(&self.instances[at], PrefillWork::default());
     }
 
     fn candidate(&self, now: MonoTime, at: usize, parts: &[PromptPart]) -> CandidateFacts {
--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -7,9 +7,9 @@
 use stallhoist_policy::balance::BalanceConfig;
 use stallhoist_policy::balance::CandidateFacts;
 use stallhoist_policy::balance::Fitness;
+use stallhoist_policy::balance::PrefillWork;
 use stallhoist_policy::balance::ReadingTime;
 use stallhoist_policy::balance::RequestFacts;
-use stallhoist_policy::balance::WorkItem;
 use stallhoist_policy::balance::expected_cost_ms;
 use stallhoist_policy::balance::other_ms;
 use stallhoist_policy::balance::other_zone_cost_ms;
@@ -150,7 +150,7 @@
             start: member.start.clone(),
             addr: member.addr,
             version: member.version.clone(),
-            work: WorkItem { remaining_prefill_ms: own_reading_ms(&request, &facts) },
+            work: PrefillWork { remaining_prefill_ms: own_reading_ms(&request, &facts) },
             unread_tokens: request.prompt_tokens.saturating_sub(facts.read_tokens),
             base_ms: request.reading.base_ms,
             other_ms: other_ms(self.config, &facts),
--- a/crates/gateway/src/upstreams/placement.rs
+++ b/crates/gateway/src/upstreams/placement.rs
@@ -9,7 +9,7 @@
 use stallhoist_core::ServiceName;
 use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::VersionName;
-use stallhoist_policy::balance::WorkItem;
+use stallhoist_policy::balance::PrefillWork;
 
 use crate::rollouts::VersionRule;
 use crate::routing::AllowedRegions;
@@ -56,7 +56,7 @@
     pub(crate) start: UpstreamIncarnation,
     pub(crate) addr: SocketAddr,
     pub(crate) version: VersionName,
-    pub(crate) work: WorkItem,
+    pub(crate) work: PrefillWork,
     /// Tokens of the prompt that it is believed to have to read.
     pub(crate) unread_tokens: u64,
     /// The part of the expected wait that is the same for all prompts.
--- a/crates/gateway/src/upstreams/work.rs
+++ b/crates/gateway/src/upstreams/work.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use stallhoist_core::UpstreamIncarnation;
-use stallhoist_policy::balance::WorkItem;
+use stallhoist_policy::balance::PrefillWork;
 
 use super::Upstreams;
 
@@ -12,7 +12,7 @@
 pub(crate) struct WorkGuard {
     pub(super) upstreams: Arc<Upstreams>,
     pub(super) start: UpstreamIncarnation,
-    pub(super) unread: WorkItem,
+    pub(super) unread: PrefillWork,
 }
 
 impl WorkGuard {
--- a/crates/policy/src/balance/load.rs
+++ b/crates/policy/src/balance/load.rs
@@ -14,7 +14,7 @@
 
 /// What one request adds to an upstream's work.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct WorkItem {
+pub struct PrefillWork {
     /// How long the engine is expected to read the request's prompt, in milliseconds.
     pub remaining_prefill_ms: f64,
 }
@@ -51,14 +51,14 @@
 
 impl UpstreamLoad {
     /// Work was sent.
-    pub fn started(&mut self, start: &UpstreamIncarnation, work: WorkItem) {
+    pub fn started(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
         let load = self.by_start.entry(start.clone()).or_default();
         load.in_progress += 1;
         load.remaining_prefill_ms += work.remaining_prefill_ms;
     }
 
     /// The first part of the answer came: its prompt has been read.
-    pub fn prompt_read(&mut self, start: &UpstreamIncarnation, work: WorkItem) {
+    pub fn prompt_read(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
         if let Some(load) = self.by_start.get_mut(start) {
             load.remaining_prefill_ms =
                 (load.remaining_prefill_ms - work.remaining_prefill_ms).max(0.0);
@@ -66,7 +66,7 @@
     }
 
     /// The work has ended, however; `work` is what had not been read by then.
-    pub fn ended(&mut self, start: &UpstreamIncarnation, work: WorkItem) {
+    pub fn ended(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
         self.prompt_read(start, work);
         if let Some(load) = self.by_start.get_mut(start) {
             load.in_progress = load.in_progress.saturating_sub(1);
--- a/tests/all/decisions/balance.rs
+++ b/tests/all/decisions/balance.rs
@@ -9,13 +9,13 @@
 use stallhoist_policy::balance::Evidence;
 use stallhoist_policy::balance::Fitness;
 use stallhoist_policy::balance::HealthConfig;
+use stallhoist_policy::balance::PrefillWork;
 use stallhoist_policy::balance::PrefixCaches;
 use stallhoist_policy::balance::ReadingTime;
 use stallhoist_policy::balance::ReportedLoad;
 use stallhoist_policy::balance::RequestFacts;
 use stallhoist_policy::balance::UpstreamHealth;
 use stallhoist_policy::balance::UpstreamLoad;
-use stallhoist_policy::balance::WorkItem;
 use stallhoist_policy::balance::expected_cost_ms;
 
 use super::at_ms;
@@ -74,12 +74,12 @@
 fn work_counts_from_its_start_to_its_end() {
     let mut load = UpstreamLoad::default();
     let a = start("a");
-    let work = WorkItem { remaining_prefill_ms: 100.0 };
+    let work = PrefillWork { remaining_prefill_ms: 100.0 };
     load.started(&a, work);
     load.started(&a, work);
     assert_eq!((load.in_progress(at_ms(0), &a, 0), load.remaining_prefill_ms(&a)), (2, 200.0));
     load.prompt_read(&a, work);
-    load.ended(&a, WorkItem::default());
+    load.ended(&a, PrefillWork::default());
     assert_eq!((load.in_progress(at_ms(0), &a, 0), load.remaining_prefill_ms(&a)), (1, 100.0));
     load.ended(&a, work);
     assert_eq!((load.in_progress(at_ms(0), &a, 0), load.remaining_prefill_ms(&a)), (0, 0.0));
