--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -74,7 +74,7 @@
 
     /// The first token came: the prompt has been read.
     pub(crate) fn first_token(&mut self, at: usize, work: PrefillWork) {
-        self.load.prompt_read(&self.instances[at], work);
+        self.load.prefill_finished(&self.instances[at], work);
     }
 
     /// The answer is whole.
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -224,7 +224,7 @@
         if is_success && !head.is_sealed {
             return AttemptEnd::Broken(Break::Unsealed);
         }
-        work.prompt_read();
+        work.prefill_finished();
         if is_success && self.call.route.is_stream {
             return self.begin_stream(reply, head, work).await;
         }
@@ -296,7 +296,7 @@
     fn note_prompt(&self) {
         if let (Some(model), Some(prompt)) = (self.model, &self.call.head.prompt) {
             let now = self.state.now();
-            self.state.upstreams.prompt_read(now, &self.chosen.start, model, prompt);
+            self.state.upstreams.prefill_finished(now, &self.chosen.start, model, prompt);
         }
     }
 
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -320,7 +320,7 @@
     }
 
     /// An upstream has read a prompt with a model.
-    pub(crate) fn prompt_read(
+    pub(crate) fn prefill_finished(
         &self,
         now: MonoTime,
         start: &UpstreamIncarnation,
--- a/crates/gateway/src/upstreams/work.rs
+++ b/crates/gateway/src/upstreams/work.rs
@@ -17,9 +17,9 @@
 
 impl WorkGuard {
     /// The first part of the answer came: the prompt has been read.
-    pub(crate) fn prompt_read(&mut self) {
+    pub(crate) fn prefill_finished(&mut self) {
         let work = std::mem::take(&mut self.unread);
-        self.upstreams.known.lock().load.prompt_read(&self.start, work);
+        self.upstreams.known.lock().load.prefill_finished(&self.start, work);
     }
 }
 
--- a/crates/policy/src/balance/load.rs
+++ b/crates/policy/src/balance/load.rs
@@ -58,7 +58,7 @@
     }
 
     /// The first part of the answer came: its prompt has been read.
-    pub fn prompt_read(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
+    pub fn prefill_finished(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
         if let Some(load) = self.by_start.get_mut(start) {
             load.remaining_prefill_ms =
                 (load.remaining_prefill_ms - work.remaining_prefill_ms).max(0.0);
@@ -67,7 +67,7 @@
 
     /// The work has ended, however; `work` is what had not been read by then.
     pub fn ended(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
-        self.prompt_read(start, work);
+        self.prefill_finished(start, work);
         if let Some(load) = self.by_start.get_mut(start) {
             load.in_progress = load.in_progress.saturating_sub(1);
         }
--- a/tests/all/decisions/balance.rs
+++ b/tests/all/decisions/balance.rs
@@ -78,7 +78,7 @@
     load.started(&a, work);
     load.started(&a, work);
     assert_eq!((load.in_progress(at_ms(0), &a, 0), load.remaining_prefill_ms(&a)), (2, 200.0));
-    load.prompt_read(&a, work);
+    load.prefill_finished(&a, work);
     load.ended(&a, PrefillWork::default());
     assert_eq!((load.in_progress(at_ms(0), &a, 0), load.remaining_prefill_ms(&a)), (1, 100.0));
     load.ended(&a, work);
