--- a/crates/policy/src/fleet_bound/mod.rs
+++ b/crates/policy/src/fleet_bound/mod.rs
@@ -9,7 +9,7 @@
 mod sent;
 
 pub use fleet::Fleet;
-pub use place::SlotAvailability;
+pub use place::SendQuota;
 pub use rank::Rank;
 pub(crate) use rank::RankCache;
 pub(crate) use sent::SentTimes;
