--- a/crates/measure/src/upstream.rs
+++ b/crates/measure/src/upstream.rs
@@ -7,8 +7,8 @@
 
 use stallhoist_core::MonoTime;
 use stallhoist_core::prefix_marks;
-use stallhoist_policy::admission::Admission;
 use stallhoist_policy::admission::AdmissionConfig;
+use stallhoist_policy::admission::AdmissionController;
 use stallhoist_policy::admission::Next;
 use stallhoist_policy::admission::Offer;
 use stallhoist_policy::admission::Prediction;
@@ -47,7 +47,7 @@
     /// How long the engine takes.
     pub times: EngineTimes,
     /// The controller.
-    pub admission: Admission<usize>,
+    pub admission: AdmissionController<usize>,
     /// While set, the upstream neither answers nor works.
     pub is_frozen: bool,
     active: Vec<Active>,
@@ -74,7 +74,7 @@
     pub fn new(times: EngineTimes, config: AdmissionConfig) -> Self {
         Self {
             times,
-            admission: Admission::new(config),
+            admission: AdmissionController::new(config),
             is_frozen: false,
             active: Vec::new(),
             joining: Vec::new(),
--- a/crates/policy/src/admission/controller.rs
+++ b/crates/policy/src/admission/controller.rs
@@ -59,7 +59,7 @@
 
 /// The admission controller of one upstream.
 #[derive(Debug)]
-pub struct Admission<Id> {
+pub struct AdmissionController<Id> {
     config: AdmissionConfig,
     pub(super) estimator: Estimator,
     pub(super) running: HashMap<Id, Running>,
@@ -71,7 +71,7 @@
     last_step_seen: MonoTime,
 }
 
-impl<Id: Clone + Eq + Hash> Admission<Id> {
+impl<Id: Clone + Eq + Hash> AdmissionController<Id> {
     /// A controller that has learnt nothing yet.
     pub fn new(config: AdmissionConfig) -> Self {
         let queue = Queue::new(config.order);
--- a/crates/policy/src/admission/forecast.rs
+++ b/crates/policy/src/admission/forecast.rs
@@ -7,12 +7,12 @@
 
 use stallhoist_core::MonoTime;
 
-use super::controller::Admission;
+use super::controller::AdmissionController;
 use super::controller::MIN_RETRY_AFTER;
 use super::queue::Waiting;
 use super::running::Running;
 
-impl<Id: Clone + Eq + Hash> Admission<Id> {
+impl<Id: Clone + Eq + Hash> AdmissionController<Id> {
     /// Whether work that goes before others in the queue would make one of them late.
     pub(super) fn delays_another(
         &self,
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -18,7 +18,7 @@
 
 pub use config::AdmissionConfig;
 pub use config::QueueOrder;
-pub use controller::Admission;
+pub use controller::AdmissionController;
 pub use controller::Next;
 pub use controller::Offer;
 pub use controller::Prediction;
--- a/crates/sidecar/src/shared.rs
+++ b/crates/sidecar/src/shared.rs
@@ -14,8 +14,8 @@
 use stallhoist_core::AttemptId;
 use stallhoist_core::IncarnationId;
 use stallhoist_core::MonoTime;
-use stallhoist_policy::admission::Admission;
 use stallhoist_policy::admission::AdmissionConfig;
+use stallhoist_policy::admission::AdmissionController;
 use stallhoist_settings::SidecarSettings;
 use stallhoist_settings::UpstreamKind;
 use stallhoist_wire::FleetKey;
@@ -44,7 +44,7 @@
     pub(crate) table: TableHolder,
     pub(crate) answers: Mutex<HashMap<AttemptId, Arc<Answer>>>,
     pub(crate) registry: Mutex<AttemptRegistry<AttemptId>>,
-    pub(crate) admission: Mutex<Admission<AttemptId>>,
+    pub(crate) admission: Mutex<AdmissionController<AttemptId>>,
     pub(crate) bills: Mutex<HeldBills>,
     pub(crate) peers: Mutex<Peers>,
     pub(crate) cache_view: Mutex<CacheView>,
@@ -78,7 +78,7 @@
             table: TableHolder::default(),
             answers: Mutex::default(),
             registry: Mutex::new(AttemptRegistry::new(REMEMBER_ATTEMPTS)),
-            admission: Mutex::new(Admission::new(admission_config(&settings))),
+            admission: Mutex::new(AdmissionController::new(admission_config(&settings))),
             bills: Mutex::default(),
             peers: Mutex::default(),
             cache_view: Mutex::default(),
--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -8,8 +8,8 @@
 use stallhoist_core::MonoTime;
 use stallhoist_core::NotRunReason;
 use stallhoist_core::prefix_marks;
-use stallhoist_policy::admission::Admission;
 use stallhoist_policy::admission::AdmissionConfig;
+use stallhoist_policy::admission::AdmissionController;
 use stallhoist_policy::admission::Next;
 use stallhoist_policy::admission::Offer;
 use stallhoist_policy::admission::StepModel;
@@ -257,9 +257,9 @@
 }
 
 /// A controller that has learnt that a call takes 100 ms, with one place.
-fn one_place() -> Admission<u32> {
+fn one_place() -> AdmissionController<u32> {
     let config = AdmissionConfig { max_in_flight_requests: 1, ..AdmissionConfig::default() };
-    let mut admission = Admission::new(config);
+    let mut admission = AdmissionController::new(config);
     for id in 0..50 {
         admission.offer(at_ms(0), work(id, at_ms(0), 10_000));
         admission.finished(at_ms(100), &id, 0);
