--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -23,7 +23,7 @@
 use stallhoist_measure::WorkloadShape;
 use stallhoist_measure::percentile;
 use stallhoist_policy::admission::AdmissionConfig;
-use stallhoist_policy::admission::Offer;
+use stallhoist_policy::admission::AdmissionDecision;
 use stallhoist_policy::admission::QueueOrder;
 
 const SEEDS: [u64; 5] = [11, 22, 33, 44, 55];
@@ -156,14 +156,14 @@
         let deadline = now.after(deadline);
         self.fates[id].offered = Some(now);
         match self.upstream.offer(now, id, request, deadline) {
-            Offer::Start | Offer::Queued => {
+            AdmissionDecision::Start | AdmissionDecision::Queued => {
                 self.fates[id].is_admitted = true;
                 self.fates[id].is_admitted_on_return = is_return;
                 if let Some(due) = self.upstream.admission.next_due() {
                     self.queue.add(due, Event::Due);
                 }
             }
-            Offer::Refused { retry_after, .. } => self.refused(now, id, retry_after),
+            AdmissionDecision::Refused { retry_after, .. } => self.refused(now, id, retry_after),
         }
     }
 
--- a/crates/measure/src/upstream.rs
+++ b/crates/measure/src/upstream.rs
@@ -9,8 +9,8 @@
 use stallhoist_core::prefix_marks;
 use stallhoist_policy::admission::AdmissionConfig;
 use stallhoist_policy::admission::AdmissionController;
+use stallhoist_policy::admission::AdmissionDecision;
 use stallhoist_policy::admission::Next;
-use stallhoist_policy::admission::Offer;
 use stallhoist_policy::admission::Prediction;
 use stallhoist_policy::admission::Work;
 
@@ -139,15 +139,15 @@
         id: usize,
         request: &FakeRequest,
         deadline: MonoTime,
-    ) -> Offer {
+    ) -> AdmissionDecision {
         let work = self.work(now, id, request, deadline);
         let offer = self.admission.offer(now, work);
         match offer {
-            Offer::Start => self.start(now, id, request),
-            Offer::Queued => {
+            AdmissionDecision::Start => self.start(now, id, request),
+            AdmissionDecision::Queued => {
                 self.waiting.insert(id, request.clone());
             }
-            Offer::Refused { .. } => {}
+            AdmissionDecision::Refused { .. } => {}
         }
         offer
     }
--- a/crates/policy/src/admission/controller.rs
+++ b/crates/policy/src/admission/controller.rs
@@ -20,7 +20,7 @@
 
 /// The answer to an offer of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum AdmissionDecision {
     /// It starts now.
     Start,
     /// It waits; [`Admission::next`] starts or refuses it.
@@ -114,23 +114,23 @@
     }
 
     /// Offers work.
-    pub fn offer(&mut self, now: MonoTime, work: Work<Id>) -> Offer {
+    pub fn offer(&mut self, now: MonoTime, work: Work<Id>) -> AdmissionDecision {
         self.reservations.forget_missed(now);
         let key = work.key;
         let waiting = self.waiting(now, work);
         let prediction = self.predict_waiting(now, &waiting);
         if let Some((reason, earliest)) = prediction.refusal {
             let retry_after = self.reserve(now, key, reason, earliest);
-            return Offer::Refused { reason, retry_after };
+            return AdmissionDecision::Refused { reason, retry_after };
         }
         self.reservations.keep(key);
         if self.has_room() {
             self.start(now, &waiting.work);
-            return Offer::Start;
+            return AdmissionDecision::Start;
         }
         let predicted_wait = self.wait_at(now, self.queue.position(now, &waiting), 0);
         self.queue.insert(now, Waiting { predicted_wait, ..waiting });
-        Offer::Queued
+        AdmissionDecision::Queued
     }
 
     /// What work would cost if it were offered now.
--- a/crates/sidecar/src/attempts.rs
+++ b/crates/sidecar/src/attempts.rs
@@ -7,8 +7,8 @@
 use stallhoist_coordination::Registered;
 use stallhoist_core::AttemptId;
 use stallhoist_core::NotRunReason;
+use stallhoist_policy::admission::AdmissionDecision;
 use stallhoist_policy::admission::Next;
-use stallhoist_policy::admission::Offer;
 use stallhoist_policy::admission::Work;
 use stallhoist_wire::FrameSender;
 use stallhoist_wire::WireError;
@@ -129,9 +129,11 @@
     };
     let offered = shared.admission.lock().offer(now, work);
     match offered {
-        Offer::Start => start(shared, answer),
-        Offer::Queued => shared.admission_changed.notify_one(),
-        Offer::Refused { reason, retry_after } => refuse(shared, answer, reason, retry_after),
+        AdmissionDecision::Start => start(shared, answer),
+        AdmissionDecision::Queued => shared.admission_changed.notify_one(),
+        AdmissionDecision::Refused { reason, retry_after } => {
+            refuse(shared, answer, reason, retry_after)
+        }
     }
 }
 
--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -10,8 +10,8 @@
 use stallhoist_core::prefix_marks;
 use stallhoist_policy::admission::AdmissionConfig;
 use stallhoist_policy::admission::AdmissionController;
+use stallhoist_policy::admission::AdmissionDecision;
 use stallhoist_policy::admission::Next;
-use stallhoist_policy::admission::Offer;
 use stallhoist_policy::admission::StepModel;
 use stallhoist_policy::admission::Work;
 use stallhoist_policy::placement::Candidate;
@@ -270,9 +270,9 @@
 #[test]
 fn work_waits_in_the_order_of_its_due_times() {
     let mut admission = one_place();
-    assert_eq!(admission.offer(at_ms(0), work(100, at_ms(0), 5_000)), Offer::Start);
-    assert_eq!(admission.offer(at_ms(1), work(101, at_ms(1), 1_500)), Offer::Queued);
-    assert_eq!(admission.offer(at_ms(2), work(102, at_ms(2), 700)), Offer::Queued);
+    assert_eq!(admission.offer(at_ms(0), work(100, at_ms(0), 5_000)), AdmissionDecision::Start);
+    assert_eq!(admission.offer(at_ms(1), work(101, at_ms(1), 1_500)), AdmissionDecision::Queued);
+    assert_eq!(admission.offer(at_ms(2), work(102, at_ms(2), 700)), AdmissionDecision::Queued);
     admission.finished(at_ms(100), &100, 0);
     assert_eq!(admission.next(at_ms(100)), [Next::Start(102)]);
 }
@@ -282,7 +282,7 @@
     let mut admission = one_place();
     let mut refused = None;
     for id in 100..200 {
-        if let Offer::Refused { reason, retry_after } =
+        if let AdmissionDecision::Refused { reason, retry_after } =
             admission.offer(at_ms(0), work(id, at_ms(0), 1_000))
         {
             assert_eq!(reason, NotRunReason::Overloaded);
@@ -306,7 +306,10 @@
         now = now.after(Duration::from_millis(100));
     }
     let returned = admission.offer(back, work(id, back, 1_000));
-    assert!(matches!(returned, Offer::Start | Offer::Queued), "{returned:?}");
+    assert!(
+        matches!(returned, AdmissionDecision::Start | AdmissionDecision::Queued),
+        "{returned:?}"
+    );
     assert_eq!(admission.reserved(), 0);
 }
 
@@ -314,7 +317,7 @@
 fn waiting_work_whose_time_has_passed_is_refused() {
     let mut admission = one_place();
     admission.offer(at_ms(0), work(100, at_ms(0), 60_000));
-    assert_eq!(admission.offer(at_ms(1), work(101, at_ms(1), 1_000)), Offer::Queued);
+    assert_eq!(admission.offer(at_ms(1), work(101, at_ms(1), 1_000)), AdmissionDecision::Queued);
     let due = admission.next_due().expect("something waits");
     let late = due.after(Duration::from_millis(1));
     let refused = admission.next(late);
@@ -325,5 +328,8 @@
 fn a_deadline_that_has_passed_is_refused_as_such() {
     let mut admission = one_place();
     let refused = admission.offer(at_ms(5), work(100, at_ms(5), 0));
-    assert!(matches!(refused, Offer::Refused { reason: NotRunReason::DeadlinePassed, .. }));
+    assert!(matches!(
+        refused,
+        AdmissionDecision::Refused { reason: NotRunReason::DeadlinePassed, .. }
+    ));
 }
