--- a/crates/measure/src/upstream.rs
+++ b/crates/measure/src/upstream.rs
@@ -10,8 +10,8 @@
 use stallhoist_policy::admission::AdmissionConfig;
 use stallhoist_policy::admission::AdmissionController;
 use stallhoist_policy::admission::AdmissionDecision;
-use stallhoist_policy::admission::Next;
 use stallhoist_policy::admission::Prediction;
+use stallhoist_policy::admission::QueueDecision;
 use stallhoist_policy::admission::Work;
 
 use super::EngineTimes;
@@ -213,12 +213,12 @@
     pub fn pump(&mut self, now: MonoTime, end: &mut StepEnd) {
         for next in self.admission.next(now) {
             match next {
-                Next::Start(id) => {
+                QueueDecision::Start(id) => {
                     if let Some(request) = self.waiting.remove(&id) {
                         self.start(now, id, &request);
                     }
                 }
-                Next::Refused { id, retry_after } => {
+                QueueDecision::Refused { id, retry_after } => {
                     self.waiting.remove(&id);
                     end.refused.push((id, retry_after));
                 }
--- a/crates/policy/src/admission/controller.rs
+++ b/crates/policy/src/admission/controller.rs
@@ -36,7 +36,7 @@
 
 /// What becomes of work that waited.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Next<Id> {
+pub enum QueueDecision<Id> {
     /// It starts now.
     Start(Id),
     /// It is not run: its time has passed.
@@ -141,7 +141,7 @@
 
     /// What of the waiting work starts or ends now. To be called when work has
     /// finished and when [`Self::next_due`] has come.
-    pub fn next(&mut self, now: MonoTime) -> Vec<Next<Id>> {
+    pub fn next(&mut self, now: MonoTime) -> Vec<QueueDecision<Id>> {
         let mut decisions = Vec::new();
         for overdue in self.queue.take_overdue(now) {
             let waited = now.since(overdue.work.arrived);
@@ -149,7 +149,7 @@
             let earliest = self.drain_time(now);
             let retry_after =
                 self.reserve(now, overdue.work.key, NotRunReason::Overloaded, earliest);
-            decisions.push(Next::Refused { id: overdue.work.id, retry_after });
+            decisions.push(QueueDecision::Refused { id: overdue.work.id, retry_after });
         }
         while self.has_free_place()
             && let Some(waiting) = self.queue.pop(now)
@@ -157,7 +157,7 @@
             let waited = now.since(waiting.work.arrived);
             self.estimator.observe_wait_error(waiting.predicted_wait, waited);
             self.start(now, &waiting.work);
-            decisions.push(Next::Start(waiting.work.id));
+            decisions.push(QueueDecision::Start(waiting.work.id));
         }
         decisions
     }
--- a/crates/sidecar/src/attempts.rs
+++ b/crates/sidecar/src/attempts.rs
@@ -8,7 +8,7 @@
 use stallhoist_core::AttemptId;
 use stallhoist_core::NotRunReason;
 use stallhoist_policy::admission::AdmissionDecision;
-use stallhoist_policy::admission::Next;
+use stallhoist_policy::admission::QueueDecision;
 use stallhoist_policy::admission::Work;
 use stallhoist_wire::FrameSender;
 use stallhoist_wire::WireError;
@@ -161,7 +161,7 @@
     let decisions = shared.admission.lock().next(shared.now());
     for decision in decisions {
         match decision {
-            Next::Start(id) => {
+            QueueDecision::Start(id) => {
                 let Some(answer) = shared.answers.lock().get(&id).cloned() else {
                     shared.admission.lock().abandoned(&id);
                     continue;
@@ -174,7 +174,7 @@
                     }
                 }
             }
-            Next::Refused { id, retry_after } => {
+            QueueDecision::Refused { id, retry_after } => {
                 let answer = shared.answers.lock().get(&id).cloned();
                 if let Some(answer) = answer {
                     refuse(shared, &answer, NotRunReason::Overloaded, retry_after);
--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -11,7 +11,7 @@
 use stallhoist_policy::admission::AdmissionConfig;
 use stallhoist_policy::admission::AdmissionController;
 use stallhoist_policy::admission::AdmissionDecision;
-use stallhoist_policy::admission::Next;
+use stallhoist_policy::admission::QueueDecision;
 use stallhoist_policy::admission::StepModel;
 use stallhoist_policy::admission::Work;
 use stallhoist_policy::placement::Candidate;
@@ -274,7 +274,7 @@
     assert_eq!(admission.offer(at_ms(1), work(101, at_ms(1), 1_500)), AdmissionDecision::Queued);
     assert_eq!(admission.offer(at_ms(2), work(102, at_ms(2), 700)), AdmissionDecision::Queued);
     admission.finished(at_ms(100), &100, 0);
-    assert_eq!(admission.next(at_ms(100)), [Next::Start(102)]);
+    assert_eq!(admission.next(at_ms(100)), [QueueDecision::Start(102)]);
 }
 
 #[test]
@@ -299,7 +299,7 @@
     while now < back {
         admission.finished(now, &running, 0);
         for next in admission.next(now) {
-            if let Next::Start(started) = next {
+            if let QueueDecision::Start(started) = next {
                 running = started;
             }
         }
@@ -321,7 +321,7 @@
     let due = admission.next_due().expect("something waits");
     let late = due.after(Duration::from_millis(1));
     let refused = admission.next(late);
-    assert!(matches!(refused[..], [Next::Refused { id: 101, .. }]), "{refused:?}");
+    assert!(matches!(refused[..], [QueueDecision::Refused { id: 101, .. }]), "{refused:?}");
 }
 
 #[test]
