--- a/crates/measure/src/upstream.rs
+++ b/crates/measure/src/upstream.rs
@@ -10,9 +10,9 @@
 use stallhoist_policy::admission::AdmissionConfig;
 use stallhoist_policy::admission::AdmissionController;
 use stallhoist_policy::admission::AdmissionDecision;
+use stallhoist_policy::admission::AdmissionRequest;
 use stallhoist_policy::admission::Prediction;
 use stallhoist_policy::admission::QueueDecision;
-use stallhoist_policy::admission::Work;
 
 use super::EngineTimes;
 use super::FakeRequest;
@@ -274,7 +274,7 @@
         id: usize,
         request: &FakeRequest,
         deadline: MonoTime,
-    ) -> Work<usize> {
+    ) -> AdmissionRequest<usize> {
         while self.events.front().is_some_and(|(due, _)| *due <= now) {
             match self.events.pop_front() {
                 Some((_, Some((true, block)))) => {
@@ -291,7 +291,7 @@
         let marks = prefix_marks(request.blocks.len());
         let is_known = |blocks: &usize| self.known.contains(&request.blocks[blocks - 1]);
         let known = marks.into_iter().take_while(is_known).last().unwrap_or_default() as u64;
-        Work {
+        AdmissionRequest {
             id,
             key: id as u64,
             arrived: now,
--- a/crates/policy/src/admission/controller.rs
+++ b/crates/policy/src/admission/controller.rs
@@ -8,8 +8,8 @@
 use stallhoist_core::NotRunReason;
 
 use super::AdmissionConfig;
+use super::AdmissionRequest;
 use super::Estimator;
-use super::Work;
 use super::queue::Queue;
 use super::queue::Waiting;
 use super::reservations::Reservations;
@@ -114,7 +114,7 @@
     }
 
     /// Offers work.
-    pub fn offer(&mut self, now: MonoTime, work: Work<Id>) -> AdmissionDecision {
+    pub fn offer(&mut self, now: MonoTime, work: AdmissionRequest<Id>) -> AdmissionDecision {
         self.reservations.forget_missed(now);
         let key = work.key;
         let waiting = self.waiting(now, work);
@@ -134,7 +134,7 @@
     }
 
     /// What work would cost if it were offered now.
-    pub fn predict(&self, now: MonoTime, work: Work<Id>) -> Prediction {
+    pub fn predict(&self, now: MonoTime, work: AdmissionRequest<Id>) -> Prediction {
         let waiting = self.waiting(now, work);
         self.predict_waiting(now, &waiting)
     }
@@ -236,7 +236,7 @@
         self.queue.len() == 0 && self.has_free_place()
     }
 
-    fn start(&mut self, now: MonoTime, work: &Work<Id>) {
+    fn start(&mut self, now: MonoTime, work: &AdmissionRequest<Id>) {
         let left = self.prefill_until.since(now);
         let ahead = self.estimator.prefill_tokens_in(left);
         let own = self.estimator.prefill(work.uncached_tokens as f64);
@@ -262,7 +262,7 @@
         }
     }
 
-    fn waiting(&self, now: MonoTime, work: Work<Id>) -> Waiting<Id> {
+    fn waiting(&self, now: MonoTime, work: AdmissionRequest<Id>) -> Waiting<Id> {
         let batch = self.concurrency();
         let own_first = self.estimator.first_token(work.uncached_tokens as f64, batch);
         let margin = self.estimator.first_token_margin();
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -25,4 +25,4 @@
 pub use estimator::Estimator;
 pub use prediction_error::PredictionError;
 pub use step_model::StepModel;
-pub use work::Work;
+pub use work::AdmissionRequest;
--- a/crates/policy/src/admission/queue.rs
+++ b/crates/policy/src/admission/queue.rs
@@ -4,13 +4,13 @@
 
 use stallhoist_core::MonoTime;
 
+use super::AdmissionRequest;
 use super::QueueOrder;
-use super::Work;
 
 /// Waiting work with the time its first token is due.
 #[derive(Debug, Clone)]
 pub(crate) struct Waiting<Id> {
-    pub(crate) work: Work<Id>,
+    pub(crate) work: AdmissionRequest<Id>,
     pub(crate) first_token_due: MonoTime,
     /// Whether a place was kept for it: then it goes before all that have none.
     pub(crate) is_reserved: bool,
--- a/crates/policy/src/admission/work.rs
+++ b/crates/policy/src/admission/work.rs
@@ -4,7 +4,7 @@
 
 /// A piece of work that asks for admission.
 #[derive(Debug, Clone)]
-pub struct Work<Id> {
+pub struct AdmissionRequest<Id> {
     /// Whose work it is.
     pub id: Id,
     /// Knows the same work when it comes back after a refusal.
--- a/crates/sidecar/src/attempts.rs
+++ b/crates/sidecar/src/attempts.rs
@@ -8,8 +8,8 @@
 use stallhoist_core::AttemptId;
 use stallhoist_core::NotRunReason;
 use stallhoist_policy::admission::AdmissionDecision;
+use stallhoist_policy::admission::AdmissionRequest;
 use stallhoist_policy::admission::QueueDecision;
-use stallhoist_policy::admission::Work;
 use stallhoist_wire::FrameSender;
 use stallhoist_wire::WireError;
 use stallhoist_wire::attempt_from_wire;
@@ -43,7 +43,7 @@
     let admission = shared.admission.lock();
     let prediction = admission.predict(
         now,
-        Work {
+        AdmissionRequest {
             id: placeholder_id(),
             key: probe.work_key,
             arrived: now,
@@ -119,7 +119,7 @@
         return refuse(shared, answer, reason, RETRY_AFTER_CHANGE);
     }
     let now = shared.now();
-    let work = Work {
+    let work = AdmissionRequest {
         id: answer.id,
         key: answer.dispatch.work_key,
         arrived: now,
--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -11,9 +11,9 @@
 use stallhoist_policy::admission::AdmissionConfig;
 use stallhoist_policy::admission::AdmissionController;
 use stallhoist_policy::admission::AdmissionDecision;
+use stallhoist_policy::admission::AdmissionRequest;
 use stallhoist_policy::admission::QueueDecision;
 use stallhoist_policy::admission::StepModel;
-use stallhoist_policy::admission::Work;
 use stallhoist_policy::placement::Candidate;
 use stallhoist_policy::placement::Choice;
 use stallhoist_policy::placement::Member;
@@ -245,8 +245,8 @@
     assert!((46..=51).contains(&batch), "{batch}");
 }
 
-fn work(id: u32, now: MonoTime, deadline_ms: u64) -> Work<u32> {
-    Work {
+fn work(id: u32, now: MonoTime, deadline_ms: u64) -> AdmissionRequest<u32> {
+    AdmissionRequest {
         id,
         key: u64::from(id),
         arrived: now,
