--- a/benches/guard.rs
+++ b/benches/guard.rs
@@ -14,7 +14,7 @@
 use stallhoist_policy::guard::EvidenceCounts;
 use stallhoist_policy::guard::Guard;
 use stallhoist_policy::guard::GuardConfig;
-use stallhoist_policy::version::VersionFacts;
+use stallhoist_policy::version::VersionCandidate;
 use stallhoist_policy::version::split;
 
 const SEEDS: u64 = 200;
@@ -106,8 +106,8 @@
         }
     }
 
-    fn facts(&self, share: f64) -> [VersionFacts; 2] {
-        let facts = |version: &ModelVersion, weight: f64| VersionFacts {
+    fn facts(&self, share: f64) -> [VersionCandidate; 2] {
+        let facts = |version: &ModelVersion, weight: f64| VersionCandidate {
             version: version.clone(),
             weight: (weight * 1_000.0) as u32,
             cap_percent: self.guard.cap_percent(version),
--- a/crates/entry/src/holds.rs
+++ b/crates/entry/src/holds.rs
@@ -4,7 +4,7 @@
 use stallhoist_core::ModelVersion;
 use stallhoist_core::Target;
 use stallhoist_policy::guard::EvidenceCounts;
-use stallhoist_policy::version::VersionFacts;
+use stallhoist_policy::version::VersionCandidate;
 use stallhoist_table::Row;
 use stallhoist_table::Table;
 use stallhoist_wire::WireError;
@@ -52,10 +52,10 @@
     table: &Table,
     row: &Row,
     version: &ModelVersion,
-) -> VersionFacts {
+) -> VersionCandidate {
     let mut guard = shared.guard.lock();
     guard.set_resets(version, resets(table, version));
-    VersionFacts {
+    VersionCandidate {
         version: version.clone(),
         weight: row.weight,
         cap_percent: f64::from(row.ramp_percent).min(guard.cap_percent(version)),
--- a/crates/policy/src/version/mod.rs
+++ b/crates/policy/src/version/mod.rs
@@ -2,6 +2,6 @@
 
 mod split;
 
-pub use split::VersionFacts;
+pub use split::VersionCandidate;
 pub use split::VersionRefusal;
 pub use split::split;
--- a/crates/policy/src/version/split.rs
+++ b/crates/policy/src/version/split.rs
@@ -8,7 +8,7 @@
 
 /// What is known of one version.
 #[derive(Debug, Clone, PartialEq)]
-pub struct VersionFacts {
+pub struct VersionCandidate {
     /// The version.
     pub version: ModelVersion,
     /// The operators' weight.
@@ -34,7 +34,7 @@
 /// # Errors
 /// Fails when no version takes new work.
 pub fn split(
-    versions: &[VersionFacts],
+    versions: &[VersionCandidate],
     rng: &mut impl Rng,
 ) -> Result<ModelVersion, VersionRefusal> {
     let weighted: Vec<_> = versions.iter().filter(|v| v.weight > 0).collect();
@@ -59,7 +59,7 @@
 
 /// Shares of the whole by weight, each at most its cap; what the capped leave is
 /// shared by the others until nothing changes. When all are capped the rest is left.
-fn capped_shares(versions: &[&VersionFacts]) -> Vec<f64> {
+fn capped_shares(versions: &[&VersionCandidate]) -> Vec<f64> {
     let mut shares = vec![0.0; versions.len()];
     let mut is_capped = vec![false; versions.len()];
     loop {
@@ -84,6 +84,6 @@
     }
 }
 
-fn weight(version: &VersionFacts) -> f64 {
+fn weight(version: &VersionCandidate) -> f64 {
     f64::from(version.weight)
 }
--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -26,7 +26,7 @@
 use stallhoist_policy::retry::EjectionConfig;
 use stallhoist_policy::retry::RetryBudget;
 use stallhoist_policy::retry::may_retry;
-use stallhoist_policy::version::VersionFacts;
+use stallhoist_policy::version::VersionCandidate;
 use stallhoist_policy::version::VersionRefusal;
 use stallhoist_policy::version::split;
 
@@ -118,12 +118,12 @@
     assert!(ejection.usable(at_ms(7_000), &hosts).contains(&hosts[0]));
 }
 
-fn facts(name: &str, weight: u32, cap_percent: f64, is_held: bool) -> VersionFacts {
-    VersionFacts { version: name.parse().expect("a version"), weight, cap_percent, is_held }
+fn facts(name: &str, weight: u32, cap_percent: f64, is_held: bool) -> VersionCandidate {
+    VersionCandidate { version: name.parse().expect("a version"), weight, cap_percent, is_held }
 }
 
 /// The share of each version over many choices, in percent.
-fn shares(versions: &[VersionFacts]) -> Vec<f64> {
+fn shares(versions: &[VersionCandidate]) -> Vec<f64> {
     let mut rng = rng();
     let mut counts = vec![0.0; versions.len()];
     for _ in 0..20_000 {
