--- a/benches/cascade.rs
+++ b/benches/cascade.rs
@@ -16,7 +16,7 @@
 use stallhoist_measure::Spread;
 use stallhoist_policy::cascade::CascadeConfig;
 use stallhoist_policy::cascade::CascadeLearner;
-use stallhoist_policy::cascade::ModelFacts;
+use stallhoist_policy::cascade::CascadeModel;
 use stallhoist_policy::cascade::Plan;
 
 const SEEDS: [u64; 5] = [11, 22, 33, 44, 55];
@@ -168,8 +168,8 @@
             Policy::Hindsight => self.hindsight(request),
             Policy::Learnt => {
                 let models = [
-                    ModelFacts { model: cheap, price: CHEAP_COST },
-                    ModelFacts { model: best, price: BEST_COST },
+                    CascadeModel { model: cheap, price: CHEAP_COST },
+                    CascadeModel { model: best, price: BEST_COST },
                 ];
                 let (target, deadline) = (self.scenario.target, self.scenario.deadline);
                 let has_rater = self.has_rater(request);
--- a/crates/entry/src/learners.rs
+++ b/crates/entry/src/learners.rs
@@ -9,7 +9,7 @@
 use stallhoist_core::TaskName;
 use stallhoist_core::WorkspaceName;
 use stallhoist_policy::cascade::CascadeLearner;
-use stallhoist_policy::cascade::ModelFacts;
+use stallhoist_policy::cascade::CascadeModel;
 use stallhoist_policy::guard::Guard;
 use stallhoist_table::Table;
 use stallhoist_table::VersionState;
@@ -52,8 +52,8 @@
 
 /// The models of a workspace's cascade, the cheapest first. One whose versions are all
 /// held back is none.
-pub(crate) fn models(table: &Table, workspace: &WorkspaceName, guard: &Guard) -> Vec<ModelFacts> {
-    let mut models: Vec<(u32, ModelFacts)> = Vec::new();
+pub(crate) fn models(table: &Table, workspace: &WorkspaceName, guard: &Guard) -> Vec<CascadeModel> {
+    let mut models: Vec<(u32, CascadeModel)> = Vec::new();
     for row in table.rows_of(workspace) {
         let Target::Version(version) = &row.target else {
             continue;
@@ -65,7 +65,7 @@
             continue;
         }
         let price = row.cost_micros_per_1k_tokens.0 as f64;
-        let facts = ModelFacts { model: version.model.clone(), price };
+        let facts = CascadeModel { model: version.model.clone(), price };
         models.push((row.cascade_place, facts));
     }
     models.sort_by_key(|(place, _)| *place);
--- a/crates/policy/src/cascade/learner.rs
+++ b/crates/policy/src/cascade/learner.rs
@@ -38,7 +38,7 @@
 
 /// A model that the table offers for a cascade.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ModelFacts {
+pub struct CascadeModel {
     /// The model.
     pub model: ModelName,
     /// Its price in the table, for comparison until an answer was paid.
@@ -91,7 +91,7 @@
     /// known qualities decide. None only when there are no models.
     pub fn choose(
         &self,
-        models: &[ModelFacts],
+        models: &[CascadeModel],
         target: f64,
         time_left: Duration,
         has_rater: bool,
@@ -134,7 +134,7 @@
 
     fn outlooks(
         &self,
-        models: &[ModelFacts],
+        models: &[CascadeModel],
         time_left: Duration,
         has_rater: bool,
     ) -> Vec<Outlook> {
@@ -161,8 +161,8 @@
 
     fn cascade(
         &self,
-        first: &ModelFacts,
-        second: &ModelFacts,
+        first: &CascadeModel,
+        second: &CascadeModel,
         fits: impl Fn(Duration) -> bool,
     ) -> Outlook {
         let (one, two) = (self.stats(&first.model), self.stats(&second.model));
@@ -183,7 +183,7 @@
         if self.is_unknown(model) { 1.0 } else { self.stats(model).sure_quality() }
     }
 
-    fn fastest(&self, models: &[ModelFacts]) -> Option<Plan> {
+    fn fastest(&self, models: &[CascadeModel]) -> Option<Plan> {
         let fastest = models.iter().min_by_key(|facts| self.stats(&facts.model).latency());
         fastest.map(|facts| Plan::Direct(facts.model.clone()))
     }
--- a/crates/policy/src/cascade/mod.rs
+++ b/crates/policy/src/cascade/mod.rs
@@ -12,7 +12,7 @@
 
 pub use learner::CascadeConfig;
 pub use learner::CascadeLearner;
-pub use learner::ModelFacts;
+pub use learner::CascadeModel;
 pub use model_stats::ModelStats;
 pub use plan::Plan;
 pub use step_up::BetterAnswer;
