--- a/benches/retries.rs
+++ b/benches/retries.rs
@@ -13,7 +13,7 @@
 use stallhoist_core::MonoTime;
 use stallhoist_measure::Report;
 use stallhoist_measure::Spread;
-use stallhoist_policy::retry::AttemptFacts;
+use stallhoist_policy::retry::AttemptOutcome;
 use stallhoist_policy::retry::Ejection;
 use stallhoist_policy::retry::EjectionConfig;
 use stallhoist_policy::retry::RetryBudget;
@@ -107,7 +107,7 @@
             }
             entry.ejection.failed(now, &host, &mut rng);
             avoid.insert(host);
-            let facts = AttemptFacts {
+            let facts = AttemptOutcome {
                 is_repeatable: true,
                 is_proved_not_run: false,
                 is_delivered: false,
--- a/crates/policy/src/retry/decision.rs
+++ b/crates/policy/src/retry/decision.rs
@@ -2,7 +2,7 @@
 
 /// What is known when an attempt has not succeeded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AttemptFacts {
+pub struct AttemptOutcome {
     /// Whether the caller allows the request to run more than once.
     pub is_repeatable: bool,
     /// Whether it is proved that the attempt did not run and will not.
@@ -19,7 +19,7 @@
 
 /// Whether the request may be tried elsewhere; `take_budget` is asked only when a
 /// retry is otherwise allowed and has a cost.
-pub fn may_retry(facts: AttemptFacts, take_budget: impl FnOnce() -> bool) -> bool {
+pub fn may_retry(facts: AttemptOutcome, take_budget: impl FnOnce() -> bool) -> bool {
     let is_safe = facts.is_proved_not_run || facts.is_repeatable;
     if !is_safe || facts.is_delivered || facts.attempts >= facts.max_attempts {
         return false;
--- a/crates/policy/src/retry/mod.rs
+++ b/crates/policy/src/retry/mod.rs
@@ -6,7 +6,7 @@
 mod progress;
 
 pub use budget::RetryBudget;
-pub use decision::AttemptFacts;
+pub use decision::AttemptOutcome;
 pub use decision::may_retry;
 pub use ejection::Ejection;
 pub use ejection::EjectionConfig;
--- a/crates/policy/src/retry/progress.rs
+++ b/crates/policy/src/retry/progress.rs
@@ -1,6 +1,6 @@
 //! How far the attempts of one request have come, and what may follow.
 
-use super::AttemptFacts;
+use super::AttemptOutcome;
 use super::may_retry;
 
 /// Of the attempts of one request so many do not count, as their upstreams have ended. As many ends as
@@ -118,7 +118,7 @@
     /// another upstream. `has_cost` says whether the attempt took an upstream's time; only
     /// then `take_budget` is asked, and only when the rest allows it.
     pub fn may_retry(&self, has_cost: bool, take_budget: impl FnOnce() -> bool) -> bool {
-        let facts = AttemptFacts {
+        let facts = AttemptOutcome {
             is_repeatable: self.rules.is_repeatable,
             is_proved_not_run: !self.may_have_run(),
             is_delivered: self.is_delivered && !self.rules.is_resumable,
--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -21,7 +21,7 @@
 use stallhoist_policy::placement::choose;
 use stallhoist_policy::placement::plan_probes;
 use stallhoist_policy::placement::subset;
-use stallhoist_policy::retry::AttemptFacts;
+use stallhoist_policy::retry::AttemptOutcome;
 use stallhoist_policy::retry::Ejection;
 use stallhoist_policy::retry::EjectionConfig;
 use stallhoist_policy::retry::RetryBudget;
@@ -61,7 +61,7 @@
     for row in RETRIES {
         let (is_repeatable, is_proved_not_run, is_delivered, has_cost, attempts, budget, expected) =
             row;
-        let facts = AttemptFacts {
+        let facts = AttemptOutcome {
             is_repeatable,
             is_proved_not_run,
             is_delivered,
