--- a/crates/gateway/src/request/execution/mod.rs
+++ b/crates/gateway/src/request/execution/mod.rs
@@ -12,7 +12,7 @@
 use stallhoist_core::ModelName;
 use stallhoist_core::StartId;
 use stallhoist_core::VersionName;
-use stallhoist_policy::cascade::BetterAnswer;
+use stallhoist_policy::cascade::StepUpTiming;
 use stallhoist_policy::retry::RequestProgress;
 use stallhoist_policy::retry::RequestRules;
 
@@ -290,7 +290,7 @@
         let Some(chosen) = chosen else {
             return false;
         };
-        let better = BetterAnswer {
+        let better = StepUpTiming {
             elapsed: self.state.now().since(self.call.arrived),
             expected_wait: chosen.expected_wait(),
             target: self.call.route.target_latency,
--- a/crates/policy/src/cascade/mod.rs
+++ b/crates/policy/src/cascade/mod.rs
@@ -15,5 +15,5 @@
 pub use learner::CascadeModel;
 pub use model_stats::ModelStats;
 pub use plan::Plan;
-pub use step_up::BetterAnswer;
 pub use step_up::StepUpConfig;
+pub use step_up::StepUpTiming;
--- a/crates/policy/src/cascade/step_up.rs
+++ b/crates/policy/src/cascade/step_up.rs
@@ -20,7 +20,7 @@
 
 /// When a better answer would come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BetterAnswer {
+pub struct StepUpTiming {
     /// The time since the request arrived.
     pub elapsed: Duration,
     /// How long the first part of the better answer is expected to take from now on.
@@ -29,7 +29,7 @@
     pub target: Duration,
 }
 
-impl BetterAnswer {
+impl StepUpTiming {
     /// Whether the better answer is expected in time. One that is late is worth little more
     /// than the answer at hand, and what an engine reads for it makes others late too.
     ///
--- a/tests/all/decisions/step_up.rs
+++ b/tests/all/decisions/step_up.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use stallhoist_policy::cascade::BetterAnswer;
 use stallhoist_policy::cascade::StepUpConfig;
+use stallhoist_policy::cascade::StepUpTiming;
 
 /// At this priority and confidence, an answer is poor or not.
 macro_rules! poor {
@@ -28,7 +28,7 @@
     ($name:ident, $elapsed:expr, $wait:expr, $target:expr, $expected:expr) => {
         #[test]
         fn $name() {
-            let better = BetterAnswer {
+            let better = StepUpTiming {
                 elapsed: Duration::from_millis($elapsed),
                 expected_wait: Duration::from_millis($wait),
                 target: Duration::from_millis($target),
