--- a/crates/entry/src/request/execution.rs
+++ b/crates/entry/src/request/execution.rs
@@ -191,7 +191,7 @@
             Choice::Refuse { reason, retry_after } => {
                 return Err(self.not_run(reason, retry_after));
             }
-            Choice::Nobody => {
+            Choice::NoCandidate => {
                 return Err(self.not_run(NotRunReason::NoUpstream, RETRY_AFTER_NOBODY));
             }
         };
--- a/crates/entry/src/request/place.rs
+++ b/crates/entry/src/request/place.rs
@@ -52,7 +52,7 @@
         // back gets the request all the same: it keeps a place, or has one by now.
         Choice::Refuse { .. } if avoid.is_empty() => match steered(steering_key, &usable).first() {
             Some(host) => Choice::Send((*host).clone()),
-            None => Choice::Nobody,
+            None => Choice::NoCandidate,
         },
         choice => choice,
     }
--- a/crates/policy/src/placement/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -35,7 +35,7 @@
         retry_after: Duration,
     },
     /// Nobody answered.
-    Nobody,
+    NoCandidate,
 }
 
 /// Takes the one with the earliest predicted first token; of those equal to the
@@ -55,6 +55,6 @@
     let refusals = candidates.iter().filter_map(|c| c.refusal);
     match refusals.min_by_key(|(_, retry_after)| *retry_after) {
         Some((reason, retry_after)) => Choice::Refuse { reason, retry_after },
-        None => Choice::Nobody,
+        None => Choice::NoCandidate,
     }
 }
--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -183,7 +183,7 @@
     let retry_after = Duration::from_millis(10);
     let refuse = Choice::Refuse { reason: NotRunReason::Overloaded, retry_after };
     assert_eq!(choose(&refusing, &mut rng()), refuse);
-    assert_eq!(choose(&[], &mut rng()), Choice::Nobody);
+    assert_eq!(choose(&[], &mut rng()), Choice::NoCandidate);
 }
 
 #[test]
