--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -216,7 +216,7 @@
         let plan = ProbePlan {
             probes: PROBES,
             session_host: None,
-            steering_key: request.blocks.first().copied().unwrap_or(request.arrives.0),
+            affinity_key: request.blocks.first().copied().unwrap_or(request.arrives.0),
         };
         let asked = plan_probes(&plan, &self.hosts, &mut self.rng);
         self.probes += asked.len();
--- a/crates/entry/src/request/order.rs
+++ b/crates/entry/src/request/order.rs
@@ -105,7 +105,7 @@
 
     /// What steers equal requests to the same upstreams: the prompt's first block, or
     /// the whole request where there is none.
-    pub(crate) fn steering_key(&self) -> u64 {
+    pub(crate) fn affinity_key(&self) -> u64 {
         let first_block = self.prefix.as_ref().and_then(|prefix| prefix.mark_hashes.first());
         first_block.copied().unwrap_or(self.work_key)
     }
--- a/crates/entry/src/request/place.rs
+++ b/crates/entry/src/request/place.rs
@@ -12,9 +12,9 @@
 use stallhoist_policy::placement::Candidate;
 use stallhoist_policy::placement::Choice;
 use stallhoist_policy::placement::ProbePlan;
+use stallhoist_policy::placement::affinity_order;
 use stallhoist_policy::placement::choose;
 use stallhoist_policy::placement::plan_probes;
-use stallhoist_policy::placement::steered;
 use stallhoist_wire::messages::frame::Body;
 
 use super::Order;
@@ -31,11 +31,11 @@
     let healthy = shared.ejection.lock().usable(shared.now(), &connected);
     let fresh: Vec<_> = healthy.iter().filter(|host| !avoid.contains(host)).cloned().collect();
     let usable = if fresh.is_empty() { healthy } else { fresh };
-    let steering_key = order.steering_key();
+    let affinity_key = order.affinity_key();
     let plan = ProbePlan {
         probes: shared.settings.placement.probes,
         session_host: order.session_host.clone(),
-        steering_key,
+        affinity_key,
     };
     let asked = plan_probes(&plan, &usable, &mut rand::rng());
     // With one to choose from there is nothing to ask: the sidecar decides on arrival.
@@ -50,10 +50,12 @@
     match choose(&candidates, &mut rand::rng()) {
         // A probe keeps no place. The one that the caller will be steered to when it comes
         // back gets the request all the same: it keeps a place, or has one by now.
-        Choice::Refuse { .. } if avoid.is_empty() => match steered(steering_key, &usable).first() {
-            Some(host) => Choice::Send((*host).clone()),
-            None => Choice::NoCandidate,
-        },
+        Choice::Refuse { .. } if avoid.is_empty() => {
+            match affinity_order(affinity_key, &usable).first() {
+                Some(host) => Choice::Send((*host).clone()),
+                None => Choice::NoCandidate,
+            }
+        }
         choice => choice,
     }
 }
--- a/crates/policy/src/placement/probe_plan.rs
+++ b/crates/policy/src/placement/probe_plan.rs
@@ -19,7 +19,7 @@
     pub session_host: Option<HostId>,
     /// What steers equal requests together: the hash of the prompt's first block, or of
     /// the request where the prompt has no whole block.
-    pub steering_key: u64,
+    pub affinity_key: u64,
 }
 
 /// Chooses whom to ask: the session's last upstream, the two that the request is
@@ -31,8 +31,8 @@
     {
         asked.push(host.clone());
     }
-    let steered = steered(plan.steering_key, usable).into_iter().take(STEERED);
-    let new: Vec<_> = steered.filter(|host| !asked.contains(host)).cloned().collect();
+    let preferred = affinity_order(plan.affinity_key, usable).into_iter().take(STEERED);
+    let new: Vec<_> = preferred.filter(|host| !asked.contains(host)).cloned().collect();
     asked.extend(new);
     asked.truncate(plan.probes);
     let mut others: Vec<_> = usable.iter().filter(|host| !asked.contains(host)).collect();
@@ -45,6 +45,6 @@
 
 /// The upstreams in the order in which a key is steered to them. The first is the one
 /// that keeps a refused caller's place.
-pub fn steered(steering_key: u64, usable: &[HostId]) -> Vec<&HostId> {
-    rendezvous_order(&format!("steer {steering_key:016x}"), usable)
+pub fn affinity_order(affinity_key: u64, usable: &[HostId]) -> Vec<&HostId> {
+    rendezvous_order(&format!("steer {affinity_key:016x}"), usable)
 }
--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -190,7 +190,7 @@
 fn probes_go_to_the_sessions_host_and_nobody_twice() {
     let hosts = hosts(20);
     for key in 0..100 {
-        let plan = ProbePlan { probes: 3, session_host: Some(hosts[4].clone()), steering_key: key };
+        let plan = ProbePlan { probes: 3, session_host: Some(hosts[4].clone()), affinity_key: key };
         let asked = plan_probes(&plan, &hosts, &mut rng());
         assert_eq!(asked[0], hosts[4]);
         let mut unique = asked.clone();
