--- a/benches/cascade.rs
+++ b/benches/cascade.rs
@@ -147,7 +147,7 @@
     }
 
     fn sample(&mut self, request: usize, model: ModelName, is_good: bool) {
-        let is_sampled = self.learner.is_unknown(&model) || self.rng.random_bool(SAMPLE);
+        let is_sampled = self.learner.needs_ratings(&model) || self.rng.random_bool(SAMPLE);
         if is_sampled && self.has_rater(request) {
             self.ratings.push_back((request + LATE, model, is_good));
         }
--- a/crates/entry/src/callers/cascade.rs
+++ b/crates/entry/src/callers/cascade.rs
@@ -126,7 +126,7 @@
     let target = row.map_or(0.0, |row| f64::from(row.quality_target_percent) / 100.0);
     let model = learners::model_of(&leg.order.target);
     let mut learners = shared.learners.lock();
-    model.is_some_and(|model| learners.learner(&leg.order.kind()).is_trusted(model, target))
+    model.is_some_and(|model| learners.learner(&leg.order.kind()).meets_target(model, target))
 }
 
 fn reply(shared: &Shared, leg: Leg, place: InFlight) -> Reply {
--- a/crates/entry/src/ratings.rs
+++ b/crates/entry/src/ratings.rs
@@ -45,7 +45,7 @@
         return false;
     };
     let may_cascade = row.is_some_and(|row| row.cascade_place > 0);
-    may_cascade && shared.learners.lock().learner(&order.kind()).is_unknown(model)
+    may_cascade && shared.learners.lock().learner(&order.kind()).needs_ratings(model)
 }
 
 /// Has an answer rated and counted; whether it is good, if the rater says so.
--- a/crates/policy/src/cascade/learner.rs
+++ b/crates/policy/src/cascade/learner.rs
@@ -123,13 +123,13 @@
     }
 
     /// Whether so little is known of a model that each answer is worth a rating.
-    pub fn is_unknown(&self, model: &ModelName) -> bool {
+    pub fn needs_ratings(&self, model: &ModelName) -> bool {
         self.stats(model).ratings() < self.config.known_ratings
     }
 
     /// Whether an unjudged answer of a model is good enough by what is known.
-    pub fn is_trusted(&self, model: &ModelName, target: f64) -> bool {
-        self.stats(model).sure_quality() >= target
+    pub fn meets_target(&self, model: &ModelName, target: f64) -> bool {
+        self.stats(model).quality_lower_bound() >= target
     }
 
     fn outlooks(
@@ -144,7 +144,7 @@
             let stats = self.stats(&first.model);
             outlooks.push(Outlook {
                 plan: Plan::Direct(first.model.clone()),
-                quality: stats.sure_quality(),
+                quality: stats.quality_lower_bound(),
                 hoped_quality: self.hoped(&first.model),
                 cost: stats.cost(first.price),
                 fits: fits(stats.latency()),
@@ -169,7 +169,7 @@
         let passes_on = 1.0 - one.quality();
         // The judge has the last word on the first answer, so what is known of the first
         // model decides the cost, and what is known of the second the quality.
-        let quality = one.quality() + passes_on * two.sure_quality();
+        let quality = one.quality() + passes_on * two.quality_lower_bound();
         Outlook {
             plan: Plan::Cascade(first.model.clone(), second.model.clone()),
             quality,
@@ -180,7 +180,7 @@
     }
 
     fn hoped(&self, model: &ModelName) -> f64 {
-        if self.is_unknown(model) { 1.0 } else { self.stats(model).sure_quality() }
+        if self.needs_ratings(model) { 1.0 } else { self.stats(model).quality_lower_bound() }
     }
 
     fn fastest(&self, models: &[CascadeModel]) -> Option<Plan> {
--- a/crates/policy/src/cascade/model_stats.rs
+++ b/crates/policy/src/cascade/model_stats.rs
@@ -55,7 +55,7 @@
 
     /// A share of good answers that is reached with fair certainty: the mean of the
     /// posterior less one standard deviation.
-    pub fn sure_quality(&self) -> f64 {
+    pub fn quality_lower_bound(&self) -> f64 {
         let count = self.good + self.poor;
         let quality = self.quality();
         let variance = quality * (1.0 - quality) / (count + 1.0);
