--- a/crates/gateway/src/request/execution/mod.rs
+++ b/crates/gateway/src/request/execution/mod.rs
@@ -252,7 +252,7 @@
     fn require_another(&mut self) -> Result<(), GiveUp> {
         if self.may_retry() {
             // Only one attempt is left: a small model's answer could not be bettered.
-            let is_last = self.progress.is_next_the_last() && !self.progress.is_delivered();
+            let is_last = self.progress.is_next_last() && !self.progress.is_delivered();
             if is_last && self.is_better_in_time() {
                 self.models.choose_best();
             }
@@ -322,7 +322,7 @@
     fn patience(&self) -> Duration {
         let remaining = self.call.deadline.since(self.state.now());
         let route = &self.call.route;
-        if !route.is_repeatable() || self.progress.is_next_the_last() {
+        if !route.is_repeatable() || self.progress.is_next_last() {
             return remaining;
         }
         let patience = (route.target_latency * PATIENCE_TARGETS).max(MIN_PATIENCE);
--- a/crates/policy/src/retry/progress.rs
+++ b/crates/policy/src/retry/progress.rs
@@ -110,7 +110,7 @@
     }
 
     /// Whether the next attempt is the last one.
-    pub fn is_next_the_last(&self) -> bool {
+    pub fn is_next_last(&self) -> bool {
         self.attempts + 1 >= self.rules.max_attempts
     }
 
