--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -8,13 +8,13 @@
 mod attempts;
 mod claims;
 mod clock;
-mod held_bills;
 mod leases;
 mod ledger;
 mod suspension_watch;
 mod table_exchange;
 mod table_holder;
 mod table_store;
+mod unsettled_bills;
 
 pub use attempts::AttemptFate;
 pub use attempts::AttemptRegistry;
@@ -24,7 +24,6 @@
 pub use claims::PendingClaim;
 pub use clock::ProcessClock;
 pub use clock::Suspensions;
-pub use held_bills::HeldBills;
 pub use leases::Lease;
 pub use leases::LeaseError;
 pub use leases::LeaseStore;
@@ -37,3 +36,4 @@
 pub use table_store::CommitError;
 pub use table_store::Head;
 pub use table_store::TableStore;
+pub use unsettled_bills::UnsettledBills;
--- a/crates/coordination/src/held_bills.rs
+++ b/crates/coordination/src/unsettled_bills.rs
@@ -16,11 +16,11 @@
 
 /// Bill records that a process holds until the ledger has them.
 #[derive(Debug, Default)]
-pub struct HeldBills {
+pub struct UnsettledBills {
     by_request: BTreeMap<RequestId, Held>,
 }
 
-impl HeldBills {
+impl UnsettledBills {
     /// Holds a record. Of two records of one request the later attempt's is held.
     pub fn hold(&mut self, now: MonoTime, record: BillRecord) {
         let held = self.by_request.get(&record.request);
--- a/crates/entry/src/billing.rs
+++ b/crates/entry/src/billing.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stallhoist_coordination::HeldBills;
 use stallhoist_coordination::LedgerBatch;
+use stallhoist_coordination::UnsettledBills;
 use stallhoist_core::AttemptId;
 use stallhoist_core::BillRecord;
 use stallhoist_core::HostId;
@@ -31,7 +31,7 @@
 /// The records of one entry, and who else holds each.
 #[derive(Debug, Default)]
 pub(crate) struct PendingBills {
-    pub(crate) held: HeldBills,
+    pub(crate) held: UnsettledBills,
     holders: HashMap<RequestId, Vec<HostId>>,
 }
 
--- a/crates/sidecar/src/shared.rs
+++ b/crates/sidecar/src/shared.rs
@@ -8,9 +8,9 @@
 
 use parking_lot::Mutex;
 use stallhoist_coordination::AttemptRegistry;
-use stallhoist_coordination::HeldBills;
 use stallhoist_coordination::ProcessClock;
 use stallhoist_coordination::TableHolder;
+use stallhoist_coordination::UnsettledBills;
 use stallhoist_core::AttemptId;
 use stallhoist_core::IncarnationId;
 use stallhoist_core::MonoTime;
@@ -45,7 +45,7 @@
     pub(crate) answers: Mutex<HashMap<AttemptId, Arc<Answer>>>,
     pub(crate) registry: Mutex<AttemptRegistry<AttemptId>>,
     pub(crate) admission: Mutex<AdmissionController<AttemptId>>,
-    pub(crate) bills: Mutex<HeldBills>,
+    pub(crate) bills: Mutex<UnsettledBills>,
     pub(crate) peers: Mutex<Peers>,
     pub(crate) cache_view: Mutex<CacheView>,
     pub(crate) evidence: Mutex<EvidenceBook>,
--- a/tests/all/held_bills.rs
+++ b/tests/all/unsettled_bills.rs
@@ -1,6 +1,6 @@
 //! Bill records while they are held.
 
-use stallhoist_coordination::HeldBills;
+use stallhoist_coordination::UnsettledBills;
 use stallhoist_core::AttemptId;
 use stallhoist_core::AttemptNumber;
 use stallhoist_core::BillRecord;
@@ -27,7 +27,7 @@
 #[test]
 fn the_later_attempts_record_is_held() {
     for order in [[1, 2], [2, 1]] {
-        let mut held = HeldBills::default();
+        let mut held = UnsettledBills::default();
         let request = RequestId::from_u128(7);
         for number in order {
             held.hold(MonoTime::default(), record(request, number));
@@ -39,7 +39,7 @@
 // The first attempt's record was on its way to the ledger when the second's came.
 #[test]
 fn settling_an_earlier_attempt_leaves_the_later_ones_record() {
-    let mut held = HeldBills::default();
+    let mut held = UnsettledBills::default();
     let request = RequestId::from_u128(7);
     held.hold(MonoTime::default(), record(request, 1));
     held.hold(MonoTime::default(), record(request, 2));
