--- a/crates/coordination/src/clock.rs
+++ b/crates/coordination/src/clock.rs
@@ -21,17 +21,17 @@
     started: Duration,
     /// On the steady clock.
     started_steady: Instant,
-    suspensions: Suspensions,
+    suspensions: SimulatedSuspensions,
 }
 
 impl ProcessClock {
     /// A clock that starts now.
     pub fn start() -> Self {
-        Self::start_with(Suspensions::default())
+        Self::start_with(SimulatedSuspensions::default())
     }
 
     /// The same, with suspensions that are only played.
-    pub fn start_with(suspensions: Suspensions) -> Self {
+    pub fn start_with(suspensions: SimulatedSuspensions) -> Self {
         Self { started: time_since_boot(), started_steady: Instant::now(), suspensions }
     }
 
@@ -55,24 +55,24 @@
 
     fn elapsed(&self) -> Duration {
         let elapsed = time_since_boot().saturating_sub(self.started);
-        elapsed + self.suspensions.played()
+        elapsed + self.suspensions.total()
     }
 }
 
 /// Suspensions that are only played, for tests: all that reads the clock sees them.
 #[derive(Debug, Clone, Default)]
-pub struct Suspensions {
+pub struct SimulatedSuspensions {
     micros: Arc<AtomicU64>,
 }
 
-impl Suspensions {
+impl SimulatedSuspensions {
     /// The host is suspended for so long, now.
-    pub fn play(&self, gap: Duration) {
+    pub fn add(&self, gap: Duration) {
         let micros = u64::try_from(gap.as_micros()).unwrap_or(u64::MAX);
         self.micros.fetch_add(micros, Ordering::SeqCst);
     }
 
-    fn played(&self) -> Duration {
+    fn total(&self) -> Duration {
         Duration::from_micros(self.micros.load(Ordering::SeqCst))
     }
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -23,7 +23,7 @@
 pub use claims::ClaimStore;
 pub use claims::PendingClaim;
 pub use clock::ProcessClock;
-pub use clock::Suspensions;
+pub use clock::SimulatedSuspensions;
 pub use leases::Lease;
 pub use leases::LeaseError;
 pub use leases::LeaseStore;
--- a/tests/all/gateway/suspension.rs
+++ b/tests/all/gateway/suspension.rs
@@ -9,7 +9,7 @@
 use reqwest::Method;
 use serde_json::json;
 use stallhoist_coordination::ProcessClock;
-use stallhoist_coordination::Suspensions;
+use stallhoist_coordination::SimulatedSuspensions;
 use stallhoist_core::MonoTime;
 use stallhoist_gateway::Gateway;
 use stallhoist_gateway::awakening::CatchingUp;
@@ -39,14 +39,14 @@
 struct Suspended {
     world: World,
     link: FaultProxy,
-    host: Suspensions,
+    host: SimulatedSuspensions,
 }
 
 impl Suspended {
     async fn start(behaviour: Behaviour) -> Self {
         let mut world = World::start(PLAIN, &[behaviour]).await;
         let link = FaultProxy::start(world.store.addr()).await.expect("a proxy starts");
-        let host = Suspensions::default();
+        let host = SimulatedSuspensions::default();
         let mut settings = settings(&world.store);
         settings.store.addr = link.addr().to_string();
         // A question waits for news for longer than the test.
@@ -69,7 +69,7 @@
     }
 }
 
-async fn start(settings: GatewaySettings, host: Suspensions) -> Gateway {
+async fn start(settings: GatewaySettings, host: SimulatedSuspensions) -> Gateway {
     let client = PlatformStore::new(&settings.store).expect("the client starts");
     let clock = ProcessClock::start_with(host);
     Gateway::start_with_clock(settings, Arc::new(PlatformDialect), Arc::new(client), clock)
@@ -85,7 +85,7 @@
     let mut keyless = config(2);
     keyless["tenants"][0]["api_keys"] = json!(["another-key"]);
     suspended.world.store.put("op", "config", keyless);
-    suspended.host.play(GAP);
+    suspended.host.add(GAP);
     assert_eq!(suspended.ask().await, 503);
     suspended.link.heal();
     wait_until("the key is refused", async || suspended.ask().await == 401).await;
@@ -99,7 +99,7 @@
     let mut keyless = config(2);
     keyless["tenants"][0]["api_keys"] = json!(["another-key"]);
     suspended.world.store.put("op", "config", keyless);
-    suspended.host.play(GAP);
+    suspended.host.add(GAP);
     let woken = Instant::now();
     wait_until("the key is refused", async || {
         let status = suspended.ask().await;
@@ -114,7 +114,7 @@
 case!(an_entry_that_hears_nothing_serves_again, async {
     let suspended = Suspended::start(Behaviour::answer("done")).await;
     suspended.link.hold(Direction::ToListener);
-    suspended.host.play(GAP);
+    suspended.host.add(GAP);
     assert_eq!(suspended.ask().await, 503);
     wait_until("it serves", async || suspended.ask().await == 200).await;
 });
@@ -125,7 +125,7 @@
     wait_until("a question waits", async || suspended.questions() > 0).await;
     let before = suspended.questions();
     let woken = Instant::now();
-    suspended.host.play(GAP);
+    suspended.host.add(GAP);
     wait_until("it is asked anew", async || suspended.questions() > before).await;
     assert!(woken.elapsed() < SOON, "{:?}", woken.elapsed());
     wait_until("it serves", async || suspended.ask().await == 200).await;
@@ -136,7 +136,7 @@
     let asked = async { (suspended.ask().await, Instant::now()) };
     let suspend = async {
         wait_until("it runs", async || suspended.world.runs() == 1).await;
-        suspended.host.play(GAP);
+        suspended.host.add(GAP);
         Instant::now()
     };
     let ((status, ended), woken) = futures_util::future::join(asked, suspend).await;
@@ -152,7 +152,7 @@
     wait_until("it runs", async || suspended.world.runs() == 1).await;
     let Suspended { world, host, link: _link } = suspended;
     let leaving = world.gateway.leave();
-    host.play(GAP);
+    host.add(GAP);
     let woken = Instant::now();
     // The platform asks no more.
     leaving.wait_for_balancer().await.finish().await;
@@ -184,9 +184,9 @@
 
 #[test]
 fn the_clock_goes_on_while_the_host_is_suspended() {
-    let host = Suspensions::default();
+    let host = SimulatedSuspensions::default();
     let clock = ProcessClock::start_with(host.clone());
-    host.play(GAP);
+    host.add(GAP);
     let elapsed = clock.now().since(at_ms(0));
     assert!(elapsed >= GAP && elapsed < GAP + SOON, "{elapsed:?}");
     assert!(clock.suspended() >= GAP);
