--- a/crates/coordination/src/suspension_watch.rs
+++ b/crates/coordination/src/suspension_detector.rs
@@ -8,13 +8,13 @@
 
 /// Notices that the host was suspended.
 #[derive(Debug, Default)]
-pub struct SuspensionWatch {
+pub struct SuspensionDetector {
     known: Duration,
 }
 
-impl SuspensionWatch {
+impl SuspensionDetector {
     /// The host has been suspended for so long in all. Gives the time of a suspension since the last call.
-    pub fn notice(&mut self, suspended: Duration) -> Option<Duration> {
+    pub fn observe(&mut self, suspended: Duration) -> Option<Duration> {
         let gap = suspended.saturating_sub(self.known);
         if gap < SHORTEST {
             return None;
--- a/crates/gateway/src/awakening.rs
+++ b/crates/gateway/src/awakening.rs
@@ -9,7 +9,7 @@
 
 use parking_lot::Mutex;
 use stallhoist_coordination::ProcessClock;
-use stallhoist_coordination::SuspensionWatch;
+use stallhoist_coordination::SuspensionDetector;
 use stallhoist_core::MonoTime;
 use tokio::sync::Notify;
 
@@ -49,7 +49,7 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    watch: SuspensionWatch,
+    watch: SuspensionDetector,
     catching_up: CatchingUp,
     suspensions: u64,
 }
@@ -70,7 +70,7 @@
     /// Looks whether the host was suspended. Gives how often it was.
     pub(crate) fn look(&self) -> u64 {
         let mut shared = self.shared.lock();
-        let Some(gap) = shared.watch.notice(self.clock.suspended()) else {
+        let Some(gap) = shared.watch.observe(self.clock.suspended()) else {
             return shared.suspensions;
         };
         shared.suspensions += 1;
