--- a/crates/coordination/src/table_holder.rs
+++ b/crates/coordination/src/active_table.rs
@@ -20,17 +20,17 @@
 
 /// The table in force in one process. Invariant: its revision never falls.
 #[derive(Debug)]
-pub struct TableHolder {
+pub struct ActiveTable {
     current: watch::Sender<Option<Arc<Table>>>,
 }
 
-impl Default for TableHolder {
+impl Default for ActiveTable {
     fn default() -> Self {
         Self { current: watch::Sender::new(None) }
     }
 }
 
-impl TableHolder {
+impl ActiveTable {
     /// The table in force; none until the first came.
     pub fn current(&self) -> Option<Arc<Table>> {
         self.current.borrow().clone()
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -5,6 +5,7 @@
 //! here elects or replicates: agreement comes from the platform's transactions, and
 //! what is only held in memory is held by several processes until the store has it.
 
+mod active_table;
 mod attempts;
 mod claims;
 mod clock;
@@ -12,10 +13,11 @@
 mod ledger;
 mod suspension_detector;
 mod table_exchange;
-mod table_holder;
 mod table_store;
 mod unsettled_bills;
 
+pub use active_table::ActiveTable;
+pub use active_table::Installed;
 pub use attempts::AttemptFate;
 pub use attempts::AttemptRegistry;
 pub use attempts::Registered;
@@ -31,8 +33,6 @@
 pub use ledger::Ledger;
 pub use ledger::LedgerBatch;
 pub use suspension_detector::SuspensionDetector;
-pub use table_holder::Installed;
-pub use table_holder::TableHolder;
 pub use table_store::CommitError;
 pub use table_store::Head;
 pub use table_store::TableStore;
--- a/crates/coordination/src/table_exchange.rs
+++ b/crates/coordination/src/table_exchange.rs
@@ -5,9 +5,9 @@
 use stallhoist_wire::table_pull;
 use stallhoist_wire::table_to_wire;
 
-use crate::TableHolder;
+use crate::ActiveTable;
 
-impl TableHolder {
+impl ActiveTable {
     /// A peer has said which revision it holds: whoever is behind gets the table.
     pub fn compare(&self, peer: &FrameSender, theirs: Revision) {
         let ours = self.revision();
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use parking_lot::Mutex;
+use stallhoist_coordination::ActiveTable;
 use stallhoist_coordination::ClaimStore;
 use stallhoist_coordination::Ledger;
 use stallhoist_coordination::PendingClaim;
 use stallhoist_coordination::ProcessClock;
-use stallhoist_coordination::TableHolder;
 use stallhoist_coordination::TableStore;
 use stallhoist_core::HostId;
 use stallhoist_core::IncarnationId;
@@ -45,7 +45,7 @@
     pub(crate) session_keys: SessionKeys,
     pub(crate) clock: ProcessClock,
     pub(crate) platform: PlatformClient,
-    pub(crate) table: TableHolder,
+    pub(crate) table: ActiveTable,
     pub(crate) table_store: TableStore,
     pub(crate) claims: ClaimStore,
     pub(crate) ledger: Ledger,
@@ -88,7 +88,7 @@
             session_keys: SessionKeys::new(&settings.session_keys),
             identity,
             clock: ProcessClock::start(),
-            table: TableHolder::default(),
+            table: ActiveTable::default(),
             table_store: TableStore::new(platform.clone()),
             claims: ClaimStore::start(platform.clone(), batch_time, max_batch),
             ledger: Ledger::new(platform.clone()),
--- a/crates/sidecar/src/shared.rs
+++ b/crates/sidecar/src/shared.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use parking_lot::Mutex;
+use stallhoist_coordination::ActiveTable;
 use stallhoist_coordination::AttemptRegistry;
 use stallhoist_coordination::ProcessClock;
-use stallhoist_coordination::TableHolder;
 use stallhoist_coordination::UnsettledBills;
 use stallhoist_core::AttemptId;
 use stallhoist_core::IncarnationId;
@@ -41,7 +41,7 @@
     pub(crate) fleet_key: FleetKey,
     pub(crate) clock: ProcessClock,
     pub(crate) http: reqwest::Client,
-    pub(crate) table: TableHolder,
+    pub(crate) table: ActiveTable,
     pub(crate) answers: Mutex<HashMap<AttemptId, Arc<Answer>>>,
     pub(crate) registry: Mutex<AttemptRegistry<AttemptId>>,
     pub(crate) admission: Mutex<AdmissionController<AttemptId>>,
@@ -75,7 +75,7 @@
             identity,
             clock: ProcessClock::start(),
             http,
-            table: TableHolder::default(),
+            table: ActiveTable::default(),
             answers: Mutex::default(),
             registry: Mutex::new(AttemptRegistry::new(REMEMBER_ATTEMPTS)),
             admission: Mutex::new(AdmissionController::new(admission_config(&settings))),
