--- a/crates/coordination/src/active_table.rs
+++ b/crates/coordination/src/active_table.rs
@@ -9,7 +9,7 @@
 
 /// What became of a table or an edit that was offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Installed {
+pub enum InstallOutcome {
     /// It is in force now.
     Newer,
     /// What is in force is at least as new.
@@ -47,13 +47,13 @@
     }
 
     /// Puts a whole table in force if it is newer.
-    pub fn install(&self, table: Table) -> Installed {
-        let mut outcome = Installed::NotNewer;
+    pub fn install(&self, table: Table) -> InstallOutcome {
+        let mut outcome = InstallOutcome::NotNewer;
         self.current.send_if_modified(|current| {
             let is_newer = current.as_ref().is_none_or(|held| held.revision < table.revision);
             if is_newer {
                 *current = Some(Arc::new(table));
-                outcome = Installed::Newer;
+                outcome = InstallOutcome::Newer;
             }
             is_newer
         });
@@ -61,8 +61,8 @@
     }
 
     /// Puts a committed edit in force if it follows.
-    pub fn apply(&self, entry: &LogEntry) -> Installed {
-        let mut outcome = Installed::NotNewer;
+    pub fn apply(&self, entry: &LogEntry) -> InstallOutcome {
+        let mut outcome = InstallOutcome::NotNewer;
         self.current.send_if_modified(|current| {
             let base = match current {
                 Some(held) if held.revision >= entry.revision => return false,
@@ -72,11 +72,11 @@
             match base {
                 Ok(next) => {
                     *current = Some(Arc::new(next));
-                    outcome = Installed::Newer;
+                    outcome = InstallOutcome::Newer;
                     true
                 }
                 Err(_) => {
-                    outcome = Installed::Gap;
+                    outcome = InstallOutcome::Gap;
                     false
                 }
             }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -17,7 +17,7 @@
 mod unsettled_bills;
 
 pub use active_table::ActiveTable;
-pub use active_table::Installed;
+pub use active_table::InstallOutcome;
 pub use attempts::AttemptFate;
 pub use attempts::AttemptRegistry;
 pub use attempts::Registered;
--- a/crates/entry/src/table_sync.rs
+++ b/crates/entry/src/table_sync.rs
@@ -7,7 +7,7 @@
 
 use serde::Serialize;
 use stallhoist_coordination::CommitError;
-use stallhoist_coordination::Installed;
+use stallhoist_coordination::InstallOutcome;
 use stallhoist_core::HostId;
 use stallhoist_core::Revision;
 use stallhoist_core::ZoneName;
@@ -52,7 +52,7 @@
     edit: &Edit,
 ) -> Result<(LogEntry, bool), CommitError> {
     let entry = shared.table_store.commit(edit).await?;
-    if shared.table.apply(&entry) == Installed::Gap {
+    if shared.table.apply(&entry) == InstallOutcome::Gap {
         let table = shared.table_store.table().await?;
         shared.table.install(table);
     }
@@ -159,18 +159,18 @@
 ) -> Result<(), WireError> {
     let entry = entry_from_wire(message)?;
     match shared.table.apply(&entry) {
-        Installed::Newer => {
+        InstallOutcome::Newer => {
             announce(shared);
             spread_entry(shared, &entry);
         }
-        Installed::Gap => shared.table.pull(from),
-        Installed::NotNewer => {}
+        InstallOutcome::Gap => shared.table.pull(from),
+        InstallOutcome::NotNewer => {}
     }
     Ok(())
 }
 
 fn install(shared: &Arc<Shared>, table: Table) {
-    if shared.table.install(table) != Installed::Newer {
+    if shared.table.install(table) != InstallOutcome::Newer {
         return;
     }
     announce(shared);
--- a/crates/sidecar/src/table_sync.rs
+++ b/crates/sidecar/src/table_sync.rs
@@ -1,6 +1,6 @@
 //! Spreading the table among the entries that are connected.
 
-use stallhoist_coordination::Installed;
+use stallhoist_coordination::InstallOutcome;
 use stallhoist_table::LogEntry;
 use stallhoist_wire::FrameSender;
 use stallhoist_wire::WireError;
@@ -18,7 +18,7 @@
 /// A whole table came.
 pub(crate) fn take_snapshot(shared: &Shared, message: &TableSnapshot) -> Result<(), WireError> {
     let table = table_from_wire(message)?;
-    if shared.table.install(table) == Installed::Newer {
+    if shared.table.install(table) == InstallOutcome::Newer {
         announce(shared);
         send_to_older(shared);
     }
@@ -33,12 +33,12 @@
 ) -> Result<(), WireError> {
     let entry = entry_from_wire(message)?;
     match shared.table.apply(&entry) {
-        Installed::Newer => {
+        InstallOutcome::Newer => {
             announce(shared);
             pass_on(shared, &entry, message);
         }
-        Installed::Gap => shared.table.pull(from),
-        Installed::NotNewer => {}
+        InstallOutcome::Gap => shared.table.pull(from),
+        InstallOutcome::NotNewer => {}
     }
     Ok(())
 }
