--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -12,8 +12,8 @@
 mod leases;
 mod ledger;
 mod suspension_detector;
-mod table_exchange;
 mod table_store;
+mod table_sync;
 mod unsettled_bills;
 
 pub use active_table::ActiveTable;
--- a/crates/coordination/src/table_exchange.rs
+++ b/crates/coordination/src/table_sync.rs
@@ -9,10 +9,10 @@
 
 impl ActiveTable {
     /// A peer has said which revision it holds: whoever is behind gets the table.
-    pub fn compare(&self, peer: &FrameSender, theirs: Revision) {
+    pub fn sync_with_peer(&self, peer: &FrameSender, theirs: Revision) {
         let ours = self.revision();
         if theirs > ours {
-            self.pull(peer);
+            self.request_snapshot(peer);
         } else if theirs < ours {
             self.send_snapshot(peer);
         }
@@ -26,7 +26,7 @@
     }
 
     /// Asks a peer for the whole table.
-    pub fn pull(&self, from: &FrameSender) {
+    pub fn request_snapshot(&self, from: &FrameSender) {
         from.send_or_close(table_pull(self.revision()));
     }
 }
--- a/crates/entry/src/mesh/link.rs
+++ b/crates/entry/src/mesh/link.rs
@@ -267,7 +267,7 @@
         });
         holds::take_evidence(shared, &identity.host, &status.evidence)?;
         table_sync::note_holder(shared, &identity.host, revision);
-        shared.table.compare(sender, revision);
+        shared.table.sync_with_peer(sender, revision);
         Ok(())
     }
 
--- a/crates/entry/src/table_sync.rs
+++ b/crates/entry/src/table_sync.rs
@@ -163,7 +163,7 @@
             announce(shared);
             spread_entry(shared, &entry);
         }
-        InstallOutcome::Gap => shared.table.pull(from),
+        InstallOutcome::Gap => shared.table.request_snapshot(from),
         InstallOutcome::NotNewer => {}
     }
     Ok(())
--- a/crates/sidecar/src/attempts.rs
+++ b/crates/sidecar/src/attempts.rs
@@ -95,7 +95,7 @@
         }
     }
     if dispatch.revision > shared.table.revision().0 {
-        shared.table.compare(from, stallhoist_core::Revision(dispatch.revision));
+        shared.table.sync_with_peer(from, stallhoist_core::Revision(dispatch.revision));
     }
     let deadline = now.after(Duration::from_millis(dispatch.deadline_ms));
     let uncached_tokens = uncached_tokens(shared, dispatch.prompt_tokens, dispatch.prefix.as_ref());
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -132,7 +132,7 @@
 
 fn note_revision(shared: &Shared, sender: &FrameSender, peer: IncarnationId, theirs: Revision) {
     shared.peers.lock().note_revision(peer, theirs);
-    shared.table.compare(sender, theirs);
+    shared.table.sync_with_peer(sender, theirs);
 }
 
 fn hold_bill(shared: &Shared, sender: &FrameSender, hold: &BillHold) -> Result<(), WireError> {
--- a/crates/sidecar/src/table_sync.rs
+++ b/crates/sidecar/src/table_sync.rs
@@ -37,7 +37,7 @@
             announce(shared);
             pass_on(shared, &entry, message);
         }
-        InstallOutcome::Gap => shared.table.pull(from),
+        InstallOutcome::Gap => shared.table.request_snapshot(from),
         InstallOutcome::NotNewer => {}
     }
     Ok(())
