--- a/crates/coordination/src/attempts.rs
+++ b/crates/coordination/src/attempts.rs
@@ -26,7 +26,7 @@
 
 /// The answer to a registration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Registered {
+pub enum RegisterOutcome {
     /// It is new, and held from now on.
     New,
     /// It was barred before it came: it must not run.
@@ -51,14 +51,14 @@
     }
 
     /// Registers an attempt that came to be run.
-    pub fn register(&mut self, now: MonoTime, id: Id) -> Registered {
+    pub fn register(&mut self, now: MonoTime, id: Id) -> RegisterOutcome {
         self.forget_old(now);
         match self.fates.get(&id) {
-            Some(AttemptFate::Barred) => Registered::Barred,
-            Some(_) => Registered::Seen,
+            Some(AttemptFate::Barred) => RegisterOutcome::Barred,
+            Some(_) => RegisterOutcome::Seen,
             None => {
                 self.remember(now, id, AttemptFate::Held);
-                Registered::New
+                RegisterOutcome::New
             }
         }
     }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -20,7 +20,7 @@
 pub use active_table::InstallOutcome;
 pub use attempts::AttemptFate;
 pub use attempts::AttemptRegistry;
-pub use attempts::Registered;
+pub use attempts::RegisterOutcome;
 pub use claims::ClaimError;
 pub use claims::ClaimStore;
 pub use claims::PendingClaim;
--- a/crates/sidecar/src/attempts.rs
+++ b/crates/sidecar/src/attempts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use stallhoist_coordination::AttemptFate;
-use stallhoist_coordination::Registered;
+use stallhoist_coordination::RegisterOutcome;
 use stallhoist_core::AttemptId;
 use stallhoist_core::NotRunReason;
 use stallhoist_policy::admission::AdmissionDecision;
@@ -86,10 +86,10 @@
     let workspace = dispatch.workspace.parse().map_err(|_| WireError::BadField("workspace"))?;
     let target = dispatch.target.parse().map_err(|_| WireError::BadField("target"))?;
     match shared.registry.lock().register(now, id) {
-        Registered::New => {}
+        RegisterOutcome::New => {}
         // It is held already, and its answer is on its way.
-        Registered::Seen => return Ok(()),
-        Registered::Barred => {
+        RegisterOutcome::Seen => return Ok(()),
+        RegisterOutcome::Barred => {
             refuse_unregistered(from, id, NotRunReason::Barred);
             return Ok(());
         }
