--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -34,6 +34,6 @@
 pub use ledger::LedgerBatch;
 pub use suspension_detector::SuspensionDetector;
 pub use table_store::CommitError;
-pub use table_store::Head;
+pub use table_store::TableHead;
 pub use table_store::TableStore;
 pub use unsettled_bills::UnsettledBills;
--- a/crates/coordination/src/table_store.rs
+++ b/crates/coordination/src/table_store.rs
@@ -51,7 +51,7 @@
 
 /// The newest revision, as the store has it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct TableHead {
     /// The revision.
     pub revision: Revision,
     /// The edit that made it.
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// Fails when the store does not answer.
-    pub async fn head(&self) -> Result<Option<Head>, CommitError> {
+    pub async fn head(&self) -> Result<Option<TableHead>, CommitError> {
         let record = self.read(HEAD_KEY).await?;
         record.map(|record| decode(&record)).transpose()
     }
@@ -170,7 +170,7 @@
         None => Expectation::Absent,
     };
     let edit_key = edit_key(entry.edit.id);
-    let new_head = Head { revision: entry.revision, edit: entry.edit.id };
+    let new_head = TableHead { revision: entry.revision, edit: entry.edit.id };
     Transaction {
         conditions: vec![
             Condition { key: HEAD_KEY.to_owned(), expect: head_is },
