--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -70,7 +70,7 @@
 
 /// Takes and renews one process's part in one lease.
 #[derive(Debug)]
-pub struct LeaseStore {
+pub struct LeaseClient {
     platform: PlatformClient,
     me: IncarnationId,
     name: String,
@@ -78,7 +78,7 @@
     watched: Option<Watched>,
 }
 
-impl LeaseStore {
+impl LeaseClient {
     /// A part in the lease `name`, which lasts `lasts` after each renewal.
     pub fn new(platform: PlatformClient, me: IncarnationId, name: &str, lasts: Duration) -> Self {
         Self { platform, me, name: name.to_owned(), lasts, watched: None }
--- a/tests/all/leases.rs
+++ b/tests/all/leases.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use stallhoist_coordination::LeaseClient;
 use stallhoist_coordination::LeaseError;
-use stallhoist_coordination::LeaseStore;
 use stallhoist_core::IncarnationId;
 use stallhoist_core::MonoTime;
 use stallhoist_platform::PlatformClient;
@@ -25,9 +25,9 @@
     PlatformStandin::start(addr).await.expect("the platform starts")
 }
 
-fn holder(platform: &PlatformStandin) -> LeaseStore {
+fn holder(platform: &PlatformStandin) -> LeaseClient {
     let client = PlatformClient::new(&platform.url(), Duration::from_secs(5));
-    LeaseStore::new(client, IncarnationId::generate(), "roll-out", LASTS)
+    LeaseClient::new(client, IncarnationId::generate(), "roll-out", LASTS)
 }
 
 case!(one_holds_it_and_renews, async {
