--- a/crates/policy/src/admission/config.rs
+++ b/crates/policy/src/admission/config.rs
@@ -1,32 +1,32 @@
-//! What admission aims for.
+//! Settings of the admission controller.
 
 use std::time::Duration;
 
-/// In which order waiting work is started.
+/// The order in which queued requests start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum QueueOrder {
-    /// In the order of arrival.
+    /// By arrival time.
     Fifo,
-    /// The earliest deadline for the first token first.
+    /// By the deadline of the first token, earliest first.
     #[default]
     EarliestDeadline,
-    /// The most urgent for its length first: least expected service divided by time
-    /// left, after the potential utility density of TimelyLLM (see the docs).
+    /// By the product of expected service time and time left, smallest first, after the
+    /// potential utility density of TimelyLLM.
     UtilityDensity,
 }
 
-/// What admission aims for.
+/// Settings of the admission controller.
 #[derive(Debug, Clone)]
 pub struct AdmissionConfig {
-    /// The time between tokens that the concurrency is set to hold.
+    /// The target time between tokens; concurrency is limited to meet it.
     pub token_interval_target: Duration,
-    /// The most that runs at once, whatever the step time.
+    /// The maximum concurrency, whatever the step time.
     pub max_in_flight_requests: usize,
-    /// The most that waits.
+    /// The maximum queue length.
     pub max_queue_len_requests: usize,
-    /// The most time to the first token that any work is given.
+    /// The maximum time to the first token of any request.
     pub first_token_target: Duration,
-    /// The order of waiting work.
+    /// The order of the queue.
     pub order: QueueOrder,
 }
 
--- a/crates/policy/src/admission/controller.rs
+++ b/crates/policy/src/admission/controller.rs
@@ -11,49 +11,49 @@
 use super::AdmissionRequest;
 use super::Estimator;
 use super::queue::Queue;
-use super::queue::Waiting;
+use super::queue::QueuedRequest;
 use super::reservations::Reservations;
 use super::running::Running;
 
-/// The shortest time a refused caller is told to stay away.
+/// The shortest retry time.
 pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(10);
 
-/// The answer to an offer of work.
+/// The decision on an offered request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It starts now.
+    /// The request starts now.
     Start,
-    /// It waits; [`Admission::next`] starts or refuses it.
+    /// The request waits; [`AdmissionController::next`] starts or rejects it.
     Queued,
-    /// It is not run.
+    /// The request is rejected.
     Refused {
         /// Why.
         reason: NotRunReason,
-        /// After which time a place is kept for it.
+        /// The time after which a slot is reserved for a retry.
         retry_after: Duration,
     },
 }
 
-/// What becomes of work that waited.
+/// The decision on a queued request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QueueDecision<Id> {
-    /// It starts now.
+    /// The request starts now.
     Start(Id),
-    /// It is not run: its time has passed.
+    /// The request is rejected: its first token would be late.
     Refused {
-        /// Whose work it is.
+        /// Which request.
         id: Id,
-        /// After which time a place is kept for it.
+        /// The time after which a slot is reserved for a retry.
         retry_after: Duration,
     },
 }
 
-/// What a request is predicted to cost here.
+/// The prediction for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Prediction {
-    /// The time to its first token.
+    /// The time to the first token.
     pub first_token: Duration,
-    /// Why it would be refused, and after which time it would fit.
+    /// Why the request would be rejected, and the time after which it would be admitted.
     pub refusal: Option<(NotRunReason, Duration)>,
 }
 
@@ -65,14 +65,14 @@
     pub(super) running: HashMap<Id, Running>,
     pub(super) queue: Queue<Id>,
     reservations: Reservations,
-    /// When the engine will have taken in all prompts that were started.
+    /// When the engine is predicted to have prefilled all prompts of started requests.
     prefill_until: MonoTime,
-    /// When the last step was seen to end: its other tokens tell nothing new.
+    /// The end of the last observed step. Other tokens of the same step are ignored.
     last_step_seen: MonoTime,
 }
 
 impl<Id: Clone + Eq + Hash> AdmissionController<Id> {
-    /// A controller that has learnt nothing yet.
+    /// Creates a controller without observations.
     pub fn new(config: AdmissionConfig) -> Self {
         let queue = Queue::new(config.order);
         Self {
@@ -86,61 +86,61 @@
         }
     }
 
-    /// How much runs.
+    /// The number of running requests.
     pub fn in_flight(&self) -> usize {
         self.running.len()
     }
 
-    /// How much waits.
+    /// The number of queued requests.
     pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// How many refused callers have a place kept.
+    /// The number of reservations.
     pub fn reserved(&self) -> usize {
         self.reservations.len()
     }
 
-    /// How much may run at once, as far as the step time is known.
+    /// The number of requests that may run at once, by the estimated step time.
     pub fn concurrency(&self) -> usize {
         let target = self.config.token_interval_target;
         let max = self.config.max_in_flight_requests;
         self.estimator.steps().largest_batch_within(target, max)
     }
 
-    /// What was learnt.
+    /// The estimates.
     pub fn estimator(&self) -> &Estimator {
         &self.estimator
     }
 
-    /// Offers work.
+    /// Starts, queues or rejects a request.
     pub fn offer(&mut self, now: MonoTime, work: AdmissionRequest<Id>) -> AdmissionDecision {
-        self.reservations.forget_missed(now);
+        self.reservations.expire_missed(now);
         let key = work.key;
-        let waiting = self.waiting(now, work);
-        let prediction = self.predict_waiting(now, &waiting);
+        let waiting = self.queued_request(now, work);
+        let prediction = self.predict_queued(now, &waiting);
         if let Some((reason, earliest)) = prediction.refusal {
             let retry_after = self.reserve(now, key, reason, earliest);
             return AdmissionDecision::Refused { reason, retry_after };
         }
-        self.reservations.keep(key);
-        if self.has_room() {
+        self.reservations.redeem(key);
+        if self.can_start_now() {
             self.start(now, &waiting.work);
             return AdmissionDecision::Start;
         }
-        let predicted_wait = self.wait_at(now, self.queue.position(now, &waiting), 0);
-        self.queue.insert(now, Waiting { predicted_wait, ..waiting });
+        let predicted_wait = self.estimate_wait(now, self.queue.position(now, &waiting), 0);
+        self.queue.insert(now, QueuedRequest { predicted_wait, ..waiting });
         AdmissionDecision::Queued
     }
 
-    /// What work would cost if it were offered now.
+    /// Predicts the decision on a request that is offered now.
     pub fn predict(&self, now: MonoTime, work: AdmissionRequest<Id>) -> Prediction {
-        let waiting = self.waiting(now, work);
-        self.predict_waiting(now, &waiting)
+        let waiting = self.queued_request(now, work);
+        self.predict_queued(now, &waiting)
     }
 
-    /// What of the waiting work starts or ends now. To be called when work has
-    /// finished and when [`Self::next_due`] has come.
+    /// Starts and rejects queued requests. To be called when a request has finished and at
+    /// the time of [`Self::next_due`].
     pub fn next(&mut self, now: MonoTime) -> Vec<QueueDecision<Id>> {
         let mut decisions = Vec::new();
         for overdue in self.queue.take_overdue(now) {
@@ -151,7 +151,7 @@
                 self.reserve(now, overdue.work.key, NotRunReason::Overloaded, earliest);
             decisions.push(QueueDecision::Refused { id: overdue.work.id, retry_after });
         }
-        while self.has_free_place()
+        while self.has_free_slot()
             && let Some(waiting) = self.queue.pop(now)
         {
             let waited = now.since(waiting.work.arrived);
@@ -162,24 +162,24 @@
         decisions
     }
 
-    /// When waiting work is next overdue.
+    /// When the next queued request becomes overdue.
     pub fn next_due(&self) -> Option<MonoTime> {
-        self.queue.iter().map(Waiting::latest_start).min()
+        self.queue.iter().map(QueuedRequest::latest_start).min()
     }
 
-    /// A token of running work came. Whether waiting work may start now, because the
-    /// step time that was just learnt leaves room for more.
+    /// Records a token of a running request. Returns whether a queued request may start now,
+    /// because the new estimate of the step time allows more concurrency.
     pub fn token(&mut self, now: MonoTime, id: &Id) -> bool {
-        self.learn_from_token(now, id);
-        self.queue.len() > 0 && self.has_free_place()
+        self.observe_token(now, id);
+        self.queue.len() > 0 && self.has_free_slot()
     }
 
-    fn learn_from_token(&mut self, now: MonoTime, id: &Id) {
+    fn observe_token(&mut self, now: MonoTime, id: &Id) {
         let batch = self.running.len();
         let Some(running) = self.running.get_mut(id) else {
             return;
         };
-        running.made_tokens += 1;
+        running.generated_tokens += 1;
         match running.last_token.replace(now) {
             Some(last) => {
                 let step = now.since(last);
@@ -194,13 +194,13 @@
                 let predicted = running.predicted_first;
                 self.estimator.observe_first_token(prefill_tokens, batch, took);
                 self.estimator.observe_first_token_error(predicted, took);
-                self.prefill_taken_in(now);
+                self.reset_prefill_backlog(now);
             }
         }
     }
 
-    /// Running work has ended with an answer of so many tokens. An answer that came
-    /// as one piece tells the mean step, one that came token by token has told it.
+    /// Records the end of a running request. A response that arrived in one piece gives the
+    /// mean step time; a streamed one has given it token by token.
     pub fn finished(&mut self, now: MonoTime, id: &Id, completion_tokens: u64) {
         let batch = self.running.len();
         let Some(running) = self.running.remove(id) else {
@@ -212,28 +212,28 @@
             return;
         }
         self.estimator.observe_answer(completion_tokens);
-        let came_whole = running.made_tokens < completion_tokens / 2;
-        if came_whole {
+        let is_single_piece = running.generated_tokens < completion_tokens / 2;
+        if is_single_piece {
             let prefill = self.estimator.prefill(running.prefill_ahead_tokens);
             let tokens = u32::try_from(completion_tokens).unwrap_or(u32::MAX);
             let generation = took.saturating_sub(prefill);
             self.estimator.observe_step(batch, generation / tokens);
-            self.prefill_taken_in(now);
+            self.reset_prefill_backlog(now);
         }
     }
 
-    /// Work is over without an answer, whether it ran or waited.
+    /// Removes a running or queued request that ended without a response.
     pub fn abandoned(&mut self, id: &Id) {
         self.running.remove(id);
         self.queue.remove(id);
     }
 
-    fn has_free_place(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         self.running.len() < self.concurrency()
     }
 
-    fn has_room(&self) -> bool {
-        self.queue.len() == 0 && self.has_free_place()
+    fn can_start_now(&self) -> bool {
+        self.queue.len() == 0 && self.has_free_slot()
     }
 
     fn start(&mut self, now: MonoTime, work: &AdmissionRequest<Id>) {
@@ -249,47 +249,47 @@
             prefill_ahead_tokens: work.uncached_tokens as f64 + ahead,
             expected_tokens: self.estimator.expected_tokens(work.completion_tokens),
             bound_tokens: work.completion_tokens,
-            made_tokens: 0,
+            generated_tokens: 0,
             last_token: None,
         };
         self.running.insert(work.id.clone(), running);
     }
 
-    /// A first token came: if no other is awaited, the engine has taken in everything.
-    fn prefill_taken_in(&mut self, now: MonoTime) {
-        if self.running.values().all(|running| running.made_tokens > 0) {
+    /// Resets the prefill backlog after a first token, if no other first token is awaited.
+    fn reset_prefill_backlog(&mut self, now: MonoTime) {
+        if self.running.values().all(|running| running.generated_tokens > 0) {
             self.prefill_until = now;
         }
     }
 
-    fn waiting(&self, now: MonoTime, work: AdmissionRequest<Id>) -> Waiting<Id> {
+    fn queued_request(&self, now: MonoTime, work: AdmissionRequest<Id>) -> QueuedRequest<Id> {
         let batch = self.concurrency();
-        let own_first = self.estimator.first_token(work.uncached_tokens as f64, batch);
+        let time_to_first_token = self.estimator.first_token(work.uncached_tokens as f64, batch);
         let margin = self.estimator.first_token_margin();
         let tokens = self.estimator.long_tokens(work.completion_tokens);
         let service = self.estimator.service(work.uncached_tokens, tokens, batch);
-        let after_first = service.saturating_sub(own_first);
+        let after_first = service.saturating_sub(time_to_first_token);
         let latest = MonoTime(work.deadline.0.saturating_sub(after_first.as_micros() as u64));
         let first_token_due = latest.min(now.after(self.config.first_token_target));
         let is_reserved = self.reservations.is_due(now, work.key);
-        Waiting {
+        QueuedRequest {
             work,
             first_token_due,
             is_reserved,
             predicted_wait: Duration::ZERO,
-            own_first: own_first + margin,
+            time_to_first_token: time_to_first_token + margin,
             service,
         }
     }
 
-    fn predict_waiting(&self, now: MonoTime, waiting: &Waiting<Id>) -> Prediction {
+    fn predict_queued(&self, now: MonoTime, waiting: &QueuedRequest<Id>) -> Prediction {
         let position = self.queue.position(now, waiting);
-        let mut wait = self.wait_at(now, position, 0);
+        let mut wait = self.estimate_wait(now, position, 0);
         if !waiting.is_reserved {
-            // Places reserved to others up to then go first.
-            let reserved = self.reservations.places_until(now.after(wait));
+            // Reservations that are due by then go first.
+            let reserved = self.reservations.count_until(now.after(wait));
             if reserved > 0 {
-                wait = self.wait_at(now, position, reserved);
+                wait = self.estimate_wait(now, position, reserved);
             }
         }
         let batch = self.concurrency().min(self.running.len() + 1);
@@ -299,21 +299,21 @@
         let budget = waiting.first_token_due.since(now);
         let mut margin = self.estimator.first_token_margin();
         if waiting.is_reserved {
-            // A kept reservation goes before the margin, which newcomers pay for.
+            // Only requests without a reservation bear the margin.
             margin = Duration::ZERO;
         } else if !wait.is_zero() {
             margin += self.estimator.wait_margin();
         }
         let budget = budget.saturating_sub(margin);
         let is_full = self.queue.len() >= self.config.max_queue_len_requests;
-        let is_crowded = (!wait.is_zero() && is_full)
-            || (!waiting.is_reserved && self.delays_another(now, waiting, position));
+        let is_congested = (!wait.is_zero() && is_full)
+            || (!waiting.is_reserved && self.would_delay_queued(now, waiting, position));
         let refusal = if waiting.work.deadline <= now {
             Some((NotRunReason::DeadlinePassed, MIN_RETRY_AFTER))
-        } else if first_token > budget && self.estimator.has_learnt() {
+        } else if first_token > budget && self.estimator.is_trained() {
             let earliest = first_token.saturating_sub(budget).max(MIN_RETRY_AFTER);
             Some((NotRunReason::Overloaded, earliest))
-        } else if is_crowded {
+        } else if is_congested {
             Some((NotRunReason::Overloaded, self.drain_time(now)))
         } else {
             None
@@ -321,7 +321,7 @@
         Prediction { first_token, refusal }
     }
 
-    /// Keeps a place for refused work and gives its time.
+    /// Reserves a slot for a rejected request and returns its retry time.
     fn reserve(
         &mut self,
         now: MonoTime,
@@ -333,8 +333,8 @@
             return earliest;
         }
         let batch = self.concurrency();
-        let places = u32::try_from(batch).unwrap_or(u32::MAX).max(1);
-        let spacing = self.estimator.mean_service(batch) / places;
-        self.reservations.give(now, key, earliest, spacing)
+        let slot_free_times = u32::try_from(batch).unwrap_or(u32::MAX).max(1);
+        let spacing = self.estimator.mean_service(batch) / slot_free_times;
+        self.reservations.reserve_at(now, key, earliest, spacing)
     }
 }
--- a/crates/policy/src/admission/estimator.rs
+++ b/crates/policy/src/admission/estimator.rs
@@ -1,4 +1,4 @@
-//! How long work takes, learnt from what was seen.
+//! Online estimates of request durations.
 
 use std::time::Duration;
 
@@ -6,38 +6,39 @@
 use super::StepModel;
 
 const SMOOTHING: f64 = 0.05;
-/// Which part of answers is no longer than what is called long.
+/// The quantile of response lengths that `long_tokens` estimates.
 const LONG_QUANTILE: f64 = 0.9;
-/// How fast the length of a long answer is corrected, as a part of the mean length.
+/// The step of the quantile estimate, as a fraction of the mean length.
 const LONG_STEP: f64 = 0.05;
-/// What an answer that is already longer than expected has left, as a part of the mean.
-const OVERDUE_LEFT: f64 = 0.3;
+/// The assumed remainder of a response that is longer than expected, as a fraction of the
+/// mean length.
+const OVERRUN_REMAINING: f64 = 0.3;
 
-/// How long work takes, learnt from what was seen.
+/// Online estimates of request durations.
 #[derive(Debug, Clone, Default)]
 pub struct Estimator {
     steps: StepModel,
-    /// Seconds to take in one uncached prompt token.
+    /// Prefill time of one uncached prompt token, in seconds.
     prefill_s_per_token: f64,
-    /// Seconds that a plain call takes.
+    /// Duration of a call of a plain service, in seconds.
     call_s: f64,
-    /// Tokens of an answer, in the mean.
+    /// Mean length of a response.
     mean_tokens: f64,
-    /// Tokens that nine in ten answers do not exceed.
+    /// Length that nine in ten responses do not exceed.
     long_tokens: f64,
-    /// How far first tokens came from their predictions.
+    /// Error of the predicted time to the first token.
     first_token_error: PredictionError,
-    /// How far starts of waiting work came from their predictions.
+    /// Error of the predicted wait in the queue.
     wait_error: PredictionError,
 }
 
 impl Estimator {
-    /// Takes in one step.
+    /// Records one step.
     pub fn observe_step(&mut self, batch: usize, step: Duration) {
         self.steps.observe(batch, step);
     }
 
-    /// Takes in the time from a start to its first token, in which the engine took in
+    /// Records the time from a start to its first token, during which the engine prefilled
     /// `prefill_tokens` of this and other prompts.
     pub fn observe_first_token(&mut self, prefill_tokens: f64, batch: usize, took: Duration) {
         if prefill_tokens < 1.0 {
@@ -47,40 +48,39 @@
         smooth(&mut self.prefill_s_per_token, prefill / prefill_tokens);
     }
 
-    /// Takes in a first token that was predicted.
+    /// Records the predicted and the actual time to a first token.
     pub fn observe_first_token_error(&mut self, predicted: Duration, took: Duration) {
         self.first_token_error.observe(predicted, took);
     }
 
-    /// The time to add to the predicted time of a first token, so that nearly all come
-    /// within it.
+    /// The margin to add to a predicted time to the first token.
     pub fn first_token_margin(&self) -> Duration {
         self.first_token_error.margin()
     }
 
-    /// Takes in a wait that was predicted.
+    /// Records a predicted and an actual wait in the queue.
     pub fn observe_wait_error(&mut self, predicted: Duration, took: Duration) {
         self.wait_error.observe(predicted, took);
     }
 
-    /// The time to add to a predicted wait, so that nearly all start within it.
+    /// The margin to add to a predicted wait.
     pub fn wait_margin(&self) -> Duration {
         self.wait_error.margin()
     }
 
-    /// Takes in the time of a whole plain call.
+    /// Records the duration of a call of a plain service.
     pub fn observe_call(&mut self, took: Duration) {
         smooth(&mut self.call_s, took.as_secs_f64());
     }
 
-    /// Takes in the length of a whole answer.
+    /// Records the length of a whole response.
     pub fn observe_answer(&mut self, completion_tokens: u64) {
         let tokens = completion_tokens as f64;
         smooth(&mut self.mean_tokens, tokens);
         if self.long_tokens == 0.0 {
             self.long_tokens = tokens;
         }
-        // Steps up and down balance where the wanted part of answers is shorter.
+        // The steps up and down are in equilibrium at the quantile.
         let step = LONG_STEP * self.mean_tokens;
         let is_longer = tokens > self.long_tokens;
         self.long_tokens += if is_longer { LONG_QUANTILE } else { LONG_QUANTILE - 1.0 } * step;
@@ -91,12 +91,12 @@
         &self.steps
     }
 
-    /// Whether anything was learnt; before that nothing is refused on a prediction.
-    pub fn has_learnt(&self) -> bool {
-        self.steps.has_seen() || self.call_s > 0.0
+    /// Whether anything was observed; before that no request is rejected on a prediction.
+    pub fn is_trained(&self) -> bool {
+        self.steps.has_observations() || self.call_s > 0.0
     }
 
-    /// Tokens that an answer is expected to have when at most `bound` are asked for.
+    /// The expected length of a response of at most `bound` tokens.
     pub fn expected_tokens(&self, bound: u64) -> u64 {
         if self.mean_tokens == 0.0 {
             return bound;
@@ -104,7 +104,7 @@
         bound.min(self.mean_tokens.ceil() as u64)
     }
 
-    /// Tokens that an answer has at most in nine of ten cases.
+    /// The length that nine in ten responses of at most `bound` tokens do not exceed.
     pub fn long_tokens(&self, bound: u64) -> u64 {
         if self.mean_tokens == 0.0 {
             return bound;
@@ -112,19 +112,19 @@
         bound.min(self.long_tokens.ceil() as u64)
     }
 
-    /// Tokens that an answer has left after `made`, when at most `bound` are asked for.
+    /// The expected remainder of a response of at most `bound` tokens after `made` tokens.
     pub fn tokens_left(&self, bound: u64, made: u64) -> u64 {
         let expected = self.expected_tokens(bound).saturating_sub(made);
-        let overdue = (self.mean_tokens * OVERDUE_LEFT) as u64;
+        let overdue = (self.mean_tokens * OVERRUN_REMAINING) as u64;
         expected.max(overdue).min(bound.saturating_sub(made)).max(1)
     }
 
-    /// The predicted time to take in prompt tokens.
+    /// The predicted time to prefill prompt tokens.
     pub fn prefill(&self, tokens: f64) -> Duration {
         Duration::from_secs_f64(self.prefill_s_per_token * tokens)
     }
 
-    /// The prompt tokens that are taken in within a time.
+    /// The number of prompt tokens that are prefilled within a time.
     pub fn prefill_tokens_in(&self, time: Duration) -> f64 {
         if self.prefill_s_per_token <= 0.0 {
             return 0.0;
@@ -132,12 +132,12 @@
         time.as_secs_f64() / self.prefill_s_per_token
     }
 
-    /// The predicted time from a start to the first token.
+    /// The predicted time from start to first token.
     pub fn first_token(&self, uncached_tokens: f64, batch: usize) -> Duration {
         self.prefill(uncached_tokens) + self.steps.step(batch)
     }
 
-    /// The predicted time from a start to the end.
+    /// The predicted time from start to end.
     pub fn service(&self, uncached_tokens: u64, completion_tokens: u64, batch: usize) -> Duration {
         if completion_tokens == 0 {
             return Duration::from_secs_f64(self.call_s);
@@ -147,7 +147,7 @@
         first + self.steps.step(batch) * later_tokens
     }
 
-    /// The predicted time of work of mean length.
+    /// The predicted generation time of a response of mean length.
     pub fn mean_service(&self, batch: usize) -> Duration {
         if self.mean_tokens == 0.0 {
             return Duration::from_secs_f64(self.call_s);
--- a/crates/policy/src/admission/forecast.rs
+++ b/crates/policy/src/admission/forecast.rs
@@ -1,4 +1,4 @@
-//! When work would start: the running work's ends and the queue, played forward.
+//! Predicted start times, by simulating the ends of running requests and the queue.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,22 +9,22 @@
 
 use super::controller::AdmissionController;
 use super::controller::MIN_RETRY_AFTER;
-use super::queue::Waiting;
+use super::queue::QueuedRequest;
 use super::running::Running;
 
 impl<Id: Clone + Eq + Hash> AdmissionController<Id> {
-    /// Whether work that goes before others in the queue would make one of them late.
-    pub(super) fn delays_another(
+    /// Whether inserting a request at `position` would make a queued one miss its deadline.
+    pub(super) fn would_delay_queued(
         &self,
         now: MonoTime,
-        waiting: &Waiting<Id>,
+        waiting: &QueuedRequest<Id>,
         position: usize,
     ) -> bool {
         if position >= self.queue.len() {
             return false;
         }
-        let mut free_at = self.places(now);
-        let mut take = |waiting: &Waiting<Id>| {
+        let mut free_at = self.slot_free_times(now);
+        let mut take = |waiting: &QueuedRequest<Id>| {
             let Reverse(free) = free_at.pop().unwrap_or_default();
             free_at.push(Reverse(free + waiting.service));
             free
@@ -38,15 +38,20 @@
         after.any(|other| now.after(take(other)) > other.latest_start())
     }
 
-    /// How long work at a place in the queue waits for its start: running work frees
-    /// its places as it ends, and what waits before takes them in order, and so do
-    /// `reserved` places of mean length.
-    pub(super) fn wait_at(&self, now: MonoTime, position: usize, reserved: usize) -> Duration {
+    /// The predicted wait at a position of the queue. Running requests free their slots as
+    /// they end; the requests ahead take them in order, and so do `reserved` reservations,
+    /// each of mean service time.
+    pub(super) fn estimate_wait(
+        &self,
+        now: MonoTime,
+        position: usize,
+        reserved: usize,
+    ) -> Duration {
         let free = self.concurrency().saturating_sub(self.running.len());
         if position + reserved < free {
             return Duration::ZERO;
         }
-        let mut free_at = self.places(now);
+        let mut free_at = self.slot_free_times(now);
         let mean = self.estimator.mean_service(self.concurrency());
         let reserved = std::iter::repeat_n(mean, reserved);
         let ahead = self.queue.iter().take(position).map(|waiting| waiting.service);
@@ -58,8 +63,8 @@
         free
     }
 
-    /// When each place is free.
-    fn places(&self, now: MonoTime) -> BinaryHeap<Reverse<Duration>> {
+    /// The time after which each slot is free.
+    fn slot_free_times(&self, now: MonoTime) -> BinaryHeap<Reverse<Duration>> {
         let batch = self.concurrency();
         let running = self.running.values().map(|r| Reverse(self.time_left(now, r, batch)));
         let mut free_at: BinaryHeap<_> = running.collect();
@@ -79,17 +84,17 @@
         }
         let step = self.estimator.steps().step(batch);
         if running.last_token.is_none() {
-            // It may come as one piece: only time tells how far it is.
+            // The response may arrive in one piece, so only elapsed time shows the progress.
             let service =
                 self.estimator.service(running.uncached_tokens, running.expected_tokens, batch);
             return service.saturating_sub(now.since(running.started)).max(step);
         }
-        let left = self.estimator.tokens_left(running.bound_tokens, running.made_tokens);
+        let left = self.estimator.tokens_left(running.bound_tokens, running.generated_tokens);
         step * u32::try_from(left).unwrap_or(u32::MAX)
     }
 
-    /// How long until all that waits now has started.
+    /// The predicted time until all queued requests have started.
     pub(super) fn drain_time(&self, now: MonoTime) -> Duration {
-        self.wait_at(now, self.queue.len(), 0).max(MIN_RETRY_AFTER)
+        self.estimate_wait(now, self.queue.len(), 0).max(MIN_RETRY_AFTER)
     }
 }
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -1,9 +1,12 @@
-//! Admission at a sidecar: what runs now, what waits, what is refused at once.
+//! Admission control at a sidecar: starts, queues or rejects each request.
 //!
-//! The step time of an engine is learnt online as `a + b * batch`; the number of
-//! requests that run at once is the largest that holds the time between tokens.
-//! Work whose first token is predicted to miss its time is refused when it arrives,
-//! with the time after which a place is kept for it.
+//! The step time of an engine is estimated online as `a + b * batch`. Concurrency is the
+//! largest batch that meets the target time between tokens. A request whose first token is
+//! predicted to miss its deadline is rejected on arrival, with a retry time for which a slot
+//! is reserved.
+//!
+//! Read `controller` first, then `forecast` (predicted waits), `estimator` and `step_model`
+//! (predicted durations), and `reservations`.
 
 mod config;
 mod controller;
@@ -11,10 +14,10 @@
 mod forecast;
 mod prediction_error;
 mod queue;
+mod request;
 mod reservations;
 mod running;
 mod step_model;
-mod work;
 
 pub use config::AdmissionConfig;
 pub use config::QueueOrder;
@@ -24,5 +27,5 @@
 pub use controller::QueueDecision;
 pub use estimator::Estimator;
 pub use prediction_error::PredictionError;
+pub use request::AdmissionRequest;
 pub use step_model::StepModel;
-pub use work::AdmissionRequest;
--- a/crates/policy/src/admission/queue.rs
+++ b/crates/policy/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The waiting work, in its order.
+//! The queue of admitted requests that wait for a slot.
 
 use std::time::Duration;
 
@@ -7,33 +7,33 @@
 use super::AdmissionRequest;
 use super::QueueOrder;
 
-/// Waiting work with the time its first token is due.
+/// A queued request with the deadline of its first token.
 #[derive(Debug, Clone)]
-pub(crate) struct Waiting<Id> {
+pub(crate) struct QueuedRequest<Id> {
     pub(crate) work: AdmissionRequest<Id>,
     pub(crate) first_token_due: MonoTime,
-    /// Whether a place was kept for it: then it goes before all that have none.
+    /// Whether it has a reservation; such requests go before all others.
     pub(crate) is_reserved: bool,
-    /// The wait that was predicted when it came.
+    /// The wait that was predicted on arrival.
     pub(crate) predicted_wait: Duration,
-    /// Predicted time from its start to its first token.
-    pub(crate) own_first: Duration,
-    /// Predicted time from its start to its end.
+    /// Predicted time from start to first token.
+    pub(crate) time_to_first_token: Duration,
+    /// Predicted time from start to end.
     pub(crate) service: Duration,
 }
 
-impl<Id> Waiting<Id> {
-    /// When it must have started to have its first token in time.
+impl<Id> QueuedRequest<Id> {
+    /// The latest start that meets the deadline of the first token.
     pub(crate) fn latest_start(&self) -> MonoTime {
-        MonoTime(self.first_token_due.0.saturating_sub(self.own_first.as_micros() as u64))
+        MonoTime(self.first_token_due.0.saturating_sub(self.time_to_first_token.as_micros() as u64))
     }
 }
 
-/// The waiting work, the next to start first.
+/// Queued requests, the next to start first.
 #[derive(Debug)]
 pub(crate) struct Queue<Id> {
     order: QueueOrder,
-    waiting: Vec<Waiting<Id>>,
+    waiting: Vec<QueuedRequest<Id>>,
 }
 
 impl<Id: PartialEq> Queue<Id> {
@@ -45,27 +45,28 @@
         self.waiting.len()
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = &Waiting<Id>> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &QueuedRequest<Id>> {
         self.waiting.iter()
     }
 
-    /// Where work would stand: how much of what waits would start before it.
-    pub(crate) fn position(&self, now: MonoTime, candidate: &Waiting<Id>) -> usize {
-        let goes_before = |other: &Waiting<Id>| self.rank(now, other) <= self.rank(now, candidate);
+    /// The position a request would take: how many queued requests would start before it.
+    pub(crate) fn position(&self, now: MonoTime, candidate: &QueuedRequest<Id>) -> usize {
+        let goes_before =
+            |other: &QueuedRequest<Id>| self.rank(now, other) <= self.rank(now, candidate);
         self.waiting.iter().take_while(|other| goes_before(other)).count()
     }
 
-    pub(crate) fn insert(&mut self, now: MonoTime, waiting: Waiting<Id>) {
+    pub(crate) fn insert(&mut self, now: MonoTime, waiting: QueuedRequest<Id>) {
         let at = self.position(now, &waiting);
         self.waiting.insert(at, waiting);
     }
 
-    pub(crate) fn pop(&mut self, now: MonoTime) -> Option<Waiting<Id>> {
+    pub(crate) fn pop(&mut self, now: MonoTime) -> Option<QueuedRequest<Id>> {
         if self.waiting.is_empty() {
             return None;
         }
         if self.order == QueueOrder::UtilityDensity {
-            // Urgency changes with time, so the order is made anew.
+            // Urgency changes with time, so the queue is sorted again.
             let mut ranked = std::mem::take(&mut self.waiting);
             ranked.sort_by_key(|waiting| self.rank(now, waiting));
             self.waiting = ranked;
@@ -73,13 +74,13 @@
         Some(self.waiting.remove(0))
     }
 
-    pub(crate) fn remove(&mut self, id: &Id) -> Option<Waiting<Id>> {
+    pub(crate) fn remove(&mut self, id: &Id) -> Option<QueuedRequest<Id>> {
         let at = self.waiting.iter().position(|waiting| waiting.work.id == *id)?;
         Some(self.waiting.remove(at))
     }
 
-    /// Takes out work that can no longer have its first token in time.
-    pub(crate) fn take_overdue(&mut self, now: MonoTime) -> Vec<Waiting<Id>> {
+    /// Removes and returns requests that can no longer meet the deadline of their first token.
+    pub(crate) fn take_overdue(&mut self, now: MonoTime) -> Vec<QueuedRequest<Id>> {
         let mut overdue = Vec::new();
         let mut at = 0;
         while at < self.waiting.len() {
@@ -92,17 +93,17 @@
         overdue
     }
 
-    fn rank(&self, now: MonoTime, waiting: &Waiting<Id>) -> (bool, u64) {
+    fn rank(&self, now: MonoTime, waiting: &QueuedRequest<Id>) -> (bool, u64) {
         (!waiting.is_reserved, self.rank_in_order(now, waiting))
     }
 
-    fn rank_in_order(&self, now: MonoTime, waiting: &Waiting<Id>) -> u64 {
+    fn rank_in_order(&self, now: MonoTime, waiting: &QueuedRequest<Id>) -> u64 {
         match self.order {
             QueueOrder::Fifo => waiting.work.arrived.0,
             QueueOrder::EarliestDeadline => waiting.first_token_due.0,
             QueueOrder::UtilityDensity => {
                 let left_us = waiting.first_token_due.since(now).as_micros() as u64;
-                // The density is 1 / (service * time left): the largest goes first.
+                // The density is 1 / (service * time left); the largest goes first.
                 let service_us = waiting.service.as_micros() as u64;
                 service_us.max(1).saturating_mul(left_us.max(1))
             }
--- a/crates/policy/src/admission/reservations.rs
+++ b/crates/policy/src/admission/reservations.rs
@@ -1,10 +1,10 @@
-//! Reservations for refused callers: who comes back when told to is let in.
+//! Reservations for rejected requests, so that a retry at the stated time is admitted.
 //!
-//! Under lasting overload a retry time is true only if the place it speaks of is kept.
-//! So refused work gets a place in a schedule beyond the queue, and newcomers count it
-//! as if it waited already. Work that comes back is known by its key. Reservations whose
-//! callers do not come back would waste places, so they count only by the part of
-//! callers that has been seen to come back.
+//! Under sustained overload a retry time is accurate only if capacity is reserved for it.
+//! A rejected request therefore gets a slot in a schedule beyond the queue, which the
+//! prediction for new requests counts as if it were queued. A retry is recognised by its
+//! key. Reservations whose callers do not return would waste capacity, so they are
+//! weighted by the observed return rate.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -12,24 +12,24 @@
 
 use stallhoist_core::MonoTime;
 
-/// A caller may come so much too early.
-const EARLY: Duration = Duration::from_millis(50);
-/// And so much too late: the standard header counts whole seconds.
-const LATE: Duration = Duration::from_millis(2_500);
-/// Nobody is told to stay away for longer.
-const HORIZON: Duration = Duration::from_secs(600);
-/// The most reservations kept; beyond it callers are told the horizon.
+/// How much too early a retry may arrive.
+const EARLY_TOLERANCE: Duration = Duration::from_millis(50);
+/// How much too late a retry may arrive; the standard header counts whole seconds.
+const LATE_TOLERANCE: Duration = Duration::from_millis(2_500);
+/// The longest retry time.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(600);
+/// The maximum number of reservations; beyond it the retry time is [`MAX_RETRY_AFTER`].
 const MAX_RESERVATIONS: usize = 10_000;
 const SMOOTHING: f64 = 0.02;
 
-/// The schedule of reserved places.
+/// The schedule of reserved slots.
 #[derive(Debug)]
 pub(crate) struct Reservations {
     by_due: BTreeMap<(MonoTime, u64), ()>,
     due_by_key: HashMap<u64, MonoTime>,
-    /// When the next place beyond all reserved ones is free.
+    /// The earliest time after all reservations.
     next_free: MonoTime,
-    /// The part of reservations whose callers came back.
+    /// The fraction of reservations that were redeemed.
     return_rate: f64,
 }
 
@@ -45,9 +45,9 @@
 }
 
 impl Reservations {
-    /// Gives the time to come back: not before `earliest`, and a place's time, `spacing`,
-    /// after the reservation before. Repeated refusals of one key keep their place.
-    pub(crate) fn give(
+    /// Reserves a slot and returns the retry time: at least `earliest`, and at least `spacing`
+    /// after the previous reservation. Another rejection of the same key keeps its reservation.
+    pub(crate) fn reserve_at(
         &mut self,
         now: MonoTime,
         key: u64,
@@ -55,11 +55,11 @@
         spacing: Duration,
     ) -> Duration {
         if let Some(due) = self.due_by_key.get(&key) {
-            return due.since(now).max(EARLY);
+            return due.since(now).max(EARLY_TOLERANCE);
         }
         let due = now.after(earliest).max(self.next_free);
-        if due.since(now) > HORIZON || self.by_due.len() >= MAX_RESERVATIONS {
-            return HORIZON;
+        if due.since(now) > MAX_RETRY_AFTER || self.by_due.len() >= MAX_RESERVATIONS {
+            return MAX_RETRY_AFTER;
         }
         self.next_free = due.after(spacing.mul_f64(self.return_rate));
         self.by_due.insert((due, key), ());
@@ -67,29 +67,29 @@
         due.since(now)
     }
 
-    /// Whether this key has a reservation that is due.
+    /// Whether a reservation of this key is due.
     pub(crate) fn is_due(&self, now: MonoTime, key: u64) -> bool {
-        self.due_by_key.get(&key).is_some_and(|due| *due <= now.after(EARLY))
+        self.due_by_key.get(&key).is_some_and(|due| *due <= now.after(EARLY_TOLERANCE))
     }
 
-    /// The reservation of this key is kept.
-    pub(crate) fn keep(&mut self, key: u64) {
+    /// Redeems the reservation of this key, if there is one.
+    pub(crate) fn redeem(&mut self, key: u64) {
         if let Some(due) = self.due_by_key.remove(&key) {
             self.by_due.remove(&(due, key));
             self.return_rate += SMOOTHING * (1.0 - self.return_rate);
         }
     }
 
-    /// How many places are reserved up to `until`, by the part that comes back.
-    pub(crate) fn places_until(&self, until: MonoTime) -> usize {
+    /// The number of reservations up to `until`, weighted by the return rate.
+    pub(crate) fn count_until(&self, until: MonoTime) -> usize {
         let count = self.by_due.range(..=(until, u64::MAX)).count();
         (count as f64 * self.return_rate).round() as usize
     }
 
-    /// Forgets reservations whose callers did not come.
-    pub(crate) fn forget_missed(&mut self, now: MonoTime) {
+    /// Removes reservations whose callers did not return in time.
+    pub(crate) fn expire_missed(&mut self, now: MonoTime) {
         while let Some((&(due, key), ())) = self.by_due.first_key_value() {
-            if now.since(due) < LATE {
+            if now.since(due) < LATE_TOLERANCE {
                 return;
             }
             self.by_due.pop_first();
