--- a/crates/policy/src/admission/step_model.rs
+++ b/crates/policy/src/admission/step_model.rs
@@ -67,7 +67,7 @@
     }
 
     /// The predicted time of a step with `batch` requests. Before the first observation it is
-    /// zero for a single request, so that a new engine receives one, and [`DEFAULT_STEP`] for
+    /// zero for a single request, so that a new engine receives one, and `DEFAULT_STEP` for
     /// more, so that it does not receive all requests at once.
     pub fn step(&self, batch: usize) -> Duration {
         if self.weight <= 0.0 {
@@ -102,7 +102,7 @@
     }
 
     /// Base and slope, in seconds. Where all batches have nearly the same size the whole time
-    /// counts as base: nothing is underestimated, and [`MAX_EXTRAPOLATION`] bounds the growth.
+    /// counts as base: nothing is underestimated, and `MAX_EXTRAPOLATION` bounds the growth.
     fn coefficients(&self) -> (f64, f64) {
         if self.weight <= 0.0 {
             return (0.0, 0.0);
--- a/crates/policy/src/cascade/learner.rs
+++ b/crates/policy/src/cascade/learner.rs
@@ -1,4 +1,4 @@
-//! Learning and choosing plans for one kind of work.
+//! Learning and choosing plans for one workspace and task.
 
 use std::cmp::Ordering::Equal;
 use std::collections::BTreeMap;
@@ -12,16 +12,16 @@
 use super::ModelStats;
 use super::Plan;
 
-/// How plans are chosen.
+/// Settings of the plan choice.
 #[derive(Debug, Clone)]
 pub struct CascadeConfig {
-    /// The part of requests that take a cascade to learn of its first model.
+    /// The fraction of requests that take a random cascade, to explore its first model.
     pub explore: f64,
-    /// How long the rater takes.
+    /// The expected latency of the rater.
     pub rating: Duration,
-    /// After so many ratings a model is known.
+    /// The number of ratings from which on the quality of a model counts as known.
     pub known_ratings: f64,
-    /// A plan must fit the deadline so many times over its expected time.
+    /// The factor on the expected latency of a plan, which must fit the deadline.
     pub time_margin: f64,
 }
 
@@ -36,27 +36,27 @@
     }
 }
 
-/// A model that the table offers for a cascade.
+/// A model that the table lists for cascades.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CascadeModel {
     /// The model.
     pub model: ModelName,
-    /// Its price in the table, for comparison until an answer was paid.
+    /// The price in the table, used until the cost of a response was recorded.
     pub price: f64,
 }
 
-/// What one plan is expected to give.
+/// The estimate of one plan.
 #[derive(Debug, Clone)]
-struct Outlook {
+struct PlanEstimate {
     plan: Plan,
     quality: f64,
-    /// The quality if what is not known of its last model were the best.
-    hoped_quality: f64,
+    /// The quality if the last model, while unknown, were perfect.
+    optimistic_quality: f64,
     cost: f64,
-    fits: bool,
+    fits_deadline: bool,
 }
 
-/// Learns and chooses plans for one kind of work of one workspace.
+/// Learns and chooses plans for one workspace and task.
 #[derive(Debug, Default)]
 pub struct CascadeLearner {
     config: CascadeConfig,
@@ -64,31 +64,31 @@
 }
 
 impl CascadeLearner {
-    /// A learner that knows nothing yet.
+    /// Creates a learner without observations.
     pub fn new(config: CascadeConfig) -> Self {
         Self { config, models: BTreeMap::new() }
     }
 
-    /// Takes in a rating of a model's answer.
+    /// Records a rating of a model's response.
     pub fn rated(&mut self, model: &ModelName, is_good: bool) {
         self.models.entry(model.clone()).or_default().rated(is_good);
     }
 
-    /// Takes in a model's answer.
+    /// Records a model's response.
     pub fn answered(&mut self, model: &ModelName, cost: CostMicros, took: Duration) {
         self.models.entry(model.clone()).or_default().answered(cost, took);
     }
 
-    /// What is known of a model.
+    /// The statistics of a model.
     pub fn stats(&self, model: &ModelName) -> ModelStats {
         self.models.get(model).cloned().unwrap_or_default()
     }
 
-    /// Chooses a plan: the least expected cost among those that surely meet the target
-    /// and fit the time; if none does, the best quality that may be hoped for and fits; if
-    /// nothing fits, the fastest model. `models` are in the order of the cascade, the cheapest first.
-    /// Without the rater there is nobody to judge, so no cascade is chosen, and the last
-    /// known qualities decide. None only when there are no models.
+    /// Chooses the plan of least expected cost among those that meet the quality target with
+    /// confidence and fit `time_left`. If none does, the one of best optimistic quality that
+    /// fits; if none fits, the fastest model. `models` are in cascade order, the cheapest first.
+    /// Without the rater no cascade is chosen, and the known qualities decide. Returns none
+    /// only if there are no models.
     pub fn choose(
         &self,
         models: &[CascadeModel],
@@ -97,94 +97,97 @@
         has_rater: bool,
         rng: &mut impl Rng,
     ) -> Option<Plan> {
-        let outlooks = self.outlooks(models, time_left, has_rater);
-        let fitting: Vec<_> = outlooks.iter().filter(|outlook| outlook.fits).collect();
-        if fitting.is_empty() {
+        let estimates = self.estimates(models, time_left, has_rater);
+        let feasible: Vec<_> = estimates.iter().filter(|estimate| estimate.fits_deadline).collect();
+        if feasible.is_empty() {
             return self.fastest(models);
         }
-        let is_cascade = |outlook: &&&Outlook| matches!(outlook.plan, Plan::Cascade(..));
-        let cascades: Vec<_> = fitting.iter().filter(is_cascade).collect();
+        let is_cascade = |estimate: &&&PlanEstimate| matches!(estimate.plan, Plan::Cascade(..));
+        let cascades: Vec<_> = feasible.iter().filter(is_cascade).collect();
         if !cascades.is_empty() && rng.random_bool(self.config.explore) {
             let at = rng.random_range(0..cascades.len());
             return Some(cascades[at].plan.clone());
         }
-        let cheapest = fitting
+        let cheapest = feasible
             .iter()
-            .filter(|outlook| outlook.quality >= target)
+            .filter(|estimate| estimate.quality >= target)
             .min_by(|a, b| a.cost.total_cmp(&b.cost));
-        // Of equal hopes a cascade is taken, which learns of both; else the later model,
-        // which the operators hold for the better one.
-        let hope = |outlook: &Outlook| {
-            let is_cascade = matches!(outlook.plan, Plan::Cascade(..));
-            (outlook.hoped_quality, is_cascade)
+        // Ties go to a cascade, which gives observations of both models; else to the later
+        // model, which the operators consider the better one.
+        let optimistic_rank = |estimate: &PlanEstimate| {
+            let is_cascade = matches!(estimate.plan, Plan::Cascade(..));
+            (estimate.optimistic_quality, is_cascade)
         };
-        let best = fitting.iter().max_by(|a, b| hope(a).partial_cmp(&hope(b)).unwrap_or(Equal));
-        cheapest.or(best).map(|outlook| outlook.plan.clone())
+        let best = feasible
+            .iter()
+            .max_by(|a, b| optimistic_rank(a).partial_cmp(&optimistic_rank(b)).unwrap_or(Equal));
+        cheapest.or(best).map(|estimate| estimate.plan.clone())
     }
 
-    /// Whether so little is known of a model that each answer is worth a rating.
+    /// Whether a model has so few ratings that each response should be rated.
     pub fn needs_ratings(&self, model: &ModelName) -> bool {
         self.stats(model).ratings() < self.config.known_ratings
     }
 
-    /// Whether an unjudged answer of a model is good enough by what is known.
+    /// Whether an unrated response of a model meets the target, by its known quality.
     pub fn meets_target(&self, model: &ModelName, target: f64) -> bool {
         self.stats(model).quality_lower_bound() >= target
     }
 
-    fn outlooks(
+    fn estimates(
         &self,
         models: &[CascadeModel],
         time_left: Duration,
         has_rater: bool,
-    ) -> Vec<Outlook> {
-        let fits = |time: Duration| time.mul_f64(self.config.time_margin) <= time_left;
-        let mut outlooks = Vec::new();
+    ) -> Vec<PlanEstimate> {
+        let fits_deadline = |time: Duration| time.mul_f64(self.config.time_margin) <= time_left;
+        let mut estimates = Vec::new();
         for (place, first) in models.iter().enumerate() {
             let stats = self.stats(&first.model);
-            outlooks.push(Outlook {
+            estimates.push(PlanEstimate {
                 plan: Plan::Direct(first.model.clone()),
                 quality: stats.quality_lower_bound(),
-                hoped_quality: self.hoped(&first.model),
+                optimistic_quality: self.optimistic_quality(&first.model),
                 cost: stats.cost(first.price),
-                fits: fits(stats.latency()),
+                fits_deadline: fits_deadline(stats.latency()),
             });
             if !has_rater {
                 continue;
             }
             for second in &models[place + 1..] {
-                outlooks.push(self.cascade(first, second, fits));
+                estimates.push(self.cascade(first, second, fits_deadline));
             }
         }
-        outlooks
+        estimates
     }
 
     fn cascade(
         &self,
         first: &CascadeModel,
         second: &CascadeModel,
-        fits: impl Fn(Duration) -> bool,
-    ) -> Outlook {
+        fits_deadline: impl Fn(Duration) -> bool,
+    ) -> PlanEstimate {
         let (one, two) = (self.stats(&first.model), self.stats(&second.model));
-        let passes_on = 1.0 - one.quality();
-        // The judge has the last word on the first answer, so what is known of the first
-        // model decides the cost, and what is known of the second the quality.
-        let quality = one.quality() + passes_on * two.quality_lower_bound();
-        Outlook {
+        let escalation_rate = 1.0 - one.quality();
+        // The rater decides on the first response, so uncertainty about the first model affects
+        // the cost, and uncertainty about the second the quality.
+        let quality = one.quality() + escalation_rate * two.quality_lower_bound();
+        PlanEstimate {
             plan: Plan::Cascade(first.model.clone(), second.model.clone()),
             quality,
-            hoped_quality: one.quality() + passes_on * self.hoped(&second.model),
-            cost: one.cost(first.price) + passes_on * two.cost(second.price),
-            fits: fits(one.latency() + self.config.rating + two.latency()),
+            optimistic_quality: one.quality()
+                + escalation_rate * self.optimistic_quality(&second.model),
+            cost: one.cost(first.price) + escalation_rate * two.cost(second.price),
+            fits_deadline: fits_deadline(one.latency() + self.config.rating + two.latency()),
         }
     }
 
-    fn hoped(&self, model: &ModelName) -> f64 {
+    fn optimistic_quality(&self, model: &ModelName) -> f64 {
         if self.needs_ratings(model) { 1.0 } else { self.stats(model).quality_lower_bound() }
     }
 
     fn fastest(&self, models: &[CascadeModel]) -> Option<Plan> {
-        let fastest = models.iter().min_by_key(|facts| self.stats(&facts.model).latency());
-        fastest.map(|facts| Plan::Direct(facts.model.clone()))
+        let fastest = models.iter().min_by_key(|candidate| self.stats(&candidate.model).latency());
+        fastest.map(|candidate| Plan::Direct(candidate.model.clone()))
     }
 }
--- a/crates/policy/src/cascade/mod.rs
+++ b/crates/policy/src/cascade/mod.rs
@@ -1,9 +1,9 @@
-//! Between models: the cheapest plan whose quality meets the target and whose time fits.
+//! Model choice: the cheapest plan that meets the quality target and the deadline.
 //!
-//! A plan is one model, or a cheaper one first and a better one if the rater finds the
-//! answer poor. Quality, cost and latency of each model are learnt for each workspace
-//! and task. What is not known of a cheap model is learnt in cascades, where the judge
-//! keeps a poor answer from the caller, never by trying it unjudged.
+//! A plan is a single model, or a cascade: a cheaper model first, and a better one if the
+//! rater finds the response poor. Quality, cost and latency of each model are estimated for
+//! each workspace and task. A model of unknown quality is explored only in cascades, where
+//! the rater keeps a poor response from the caller.
 
 mod learner;
 mod model_stats;
--- a/crates/policy/src/cascade/model_stats.rs
+++ b/crates/policy/src/cascade/model_stats.rs
@@ -1,16 +1,17 @@
-//! What is known of one model in one kind of work.
+//! Statistics of one model for one workspace and task.
 
 use std::time::Duration;
 
 use stallhoist_core::CostMicros;
 
-/// How much a rating counts after the next one came: the memory is about a hundred.
+/// The factor by which each rating reduces the weight of earlier ones, which bounds their
+/// effective number to 100.
 const DISCOUNT: f64 = 0.99;
 const SMOOTHING: f64 = 0.05;
-/// A model of which nothing is known is taken for a coin.
-const PRIOR: f64 = 1.0;
+/// Pseudo-counts of good and of poor ratings: a uniform prior of the quality.
+const PRIOR_COUNT: f64 = 1.0;
 
-/// What is known of one model in one kind of work.
+/// Statistics of one model for one workspace and task.
 #[derive(Debug, Clone)]
 pub struct ModelStats {
     good: f64,
@@ -21,15 +22,15 @@
 
 impl Default for ModelStats {
     fn default() -> Self {
-        Self { good: PRIOR, poor: PRIOR, cost_micros: None, latency_s: None }
+        Self { good: PRIOR_COUNT, poor: PRIOR_COUNT, cost_micros: None, latency_s: None }
     }
 }
 
 impl ModelStats {
-    /// Takes in a rating.
+    /// Records a rating.
     pub fn rated(&mut self, is_good: bool) {
-        self.good = PRIOR + (self.good - PRIOR) * DISCOUNT;
-        self.poor = PRIOR + (self.poor - PRIOR) * DISCOUNT;
+        self.good = PRIOR_COUNT + (self.good - PRIOR_COUNT) * DISCOUNT;
+        self.poor = PRIOR_COUNT + (self.poor - PRIOR_COUNT) * DISCOUNT;
         if is_good {
             self.good += 1.0;
         } else {
@@ -37,24 +38,23 @@
         }
     }
 
-    /// Takes in what an answer cost and how long it took.
+    /// Records the cost and the latency of a response.
     pub fn answered(&mut self, cost: CostMicros, took: Duration) {
         smooth(&mut self.cost_micros, cost.0 as f64);
         smooth(&mut self.latency_s, took.as_secs_f64());
     }
 
-    /// How many ratings are remembered.
+    /// The effective number of ratings.
     pub fn ratings(&self) -> f64 {
-        self.good + self.poor - 2.0 * PRIOR
+        self.good + self.poor - 2.0 * PRIOR_COUNT
     }
 
-    /// The expected share of good answers.
+    /// The expected fraction of good responses.
     pub fn quality(&self) -> f64 {
         self.good / (self.good + self.poor)
     }
 
-    /// A share of good answers that is reached with fair certainty: the mean of the
-    /// posterior less one standard deviation.
+    /// A lower bound of the quality: the mean of the posterior less one standard deviation.
     pub fn quality_lower_bound(&self) -> f64 {
         let count = self.good + self.poor;
         let quality = self.quality();
@@ -62,12 +62,12 @@
         quality - variance.sqrt()
     }
 
-    /// The expected cost of an answer; `price` stands in until one was paid.
+    /// The expected cost of a response; `price` until one was recorded.
     pub fn cost(&self, price: f64) -> f64 {
         self.cost_micros.unwrap_or(price)
     }
 
-    /// The expected time of an answer; zero until one was timed.
+    /// The expected latency of a response; zero until one was recorded.
     pub fn latency(&self) -> Duration {
         Duration::from_secs_f64(self.latency_s.unwrap_or_default())
     }
--- a/crates/policy/src/cascade/plan.rs
+++ b/crates/policy/src/cascade/plan.rs
@@ -1,18 +1,18 @@
-//! What may be done with a request.
+//! Which models answer a request.
 
 use stallhoist_core::ModelName;
 
-/// What may be done with a request.
+/// Which models answer a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Plan {
-    /// This model answers.
+    /// A single model.
     Direct(ModelName),
-    /// The first answers; if the rater finds its answer poor, the second does.
+    /// The first model; if the rater finds its response poor, the second.
     Cascade(ModelName, ModelName),
 }
 
 impl Plan {
-    /// The model that is asked first.
+    /// The model that is called first.
     pub fn first(&self) -> &ModelName {
         match self {
             Self::Direct(model) | Self::Cascade(model, _) => model,
--- a/crates/policy/src/cascade/step_up.rs
+++ b/crates/policy/src/cascade/step_up.rs
@@ -1,56 +1,55 @@
-//! Whether an answer of a cheap model is kept, by the model's own opinion of it and by when
-//! a better one would come.
+//! Whether the response of a cheap model is replaced by that of a better one, by the
+//! model's reported confidence and the expected latency of the better response.
 
 use std::time::Duration;
 
-/// When an answer is not kept.
+/// When a response is poor enough to step up to a better model.
 #[derive(Debug, Clone)]
 pub struct StepUpConfig {
-    /// Below this opinion, from 0 to 100, a better model is asked: one for each priority,
-    /// the most urgent first; the last holds for all that follow.
+    /// The confidence, from 0 to 100, below which a better model is called: one threshold for
+    /// each priority, the most urgent first. The last applies to all further priorities.
     pub below_confidence: Vec<u8>,
 }
 
 impl Default for StepUpConfig {
-    /// The best of the thresholds tried; see docs/design/platform.md.
     fn default() -> Self {
         Self { below_confidence: vec![50] }
     }
 }
 
-/// When a better answer would come.
+/// When the response of a better model would arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StepUpTiming {
     /// The time since the request arrived.
     pub elapsed: Duration,
-    /// How long the first part of the better answer is expected to take from now on.
+    /// The expected time from now until the first chunk of the better response.
     pub expected_wait: Duration,
-    /// The time within which an answer is worth most; zero when nothing is said of it.
+    /// The time since arrival within which a response has its full value; zero if there is none.
     pub target: Duration,
 }
 
 impl StepUpTiming {
-    /// Whether the better answer is expected in time. One that is late is worth little more
-    /// than the answer at hand, and what an engine reads for it makes others late too.
+    /// Whether the better response is expected in time. A late one is worth little more than
+    /// the response at hand, and its prompt delays other requests on the engine.
     ///
-    /// In place of a limit on how late other answers were, it raised the mean worth of five days
-    /// with faults from 0.682 to 0.695 (eight seeds each); 0.638 and 0.641, and 0.713 and 0.712,
-    /// on two other deployments.
+    /// Compared with a limit on the lateness of other responses, this rule raised the mean value
+    /// from 0.682 to 0.695 over five days with faults, eight seeds each. On two other deployments
+    /// it gave 0.641 instead of 0.638, and 0.712 instead of 0.713.
     pub fn is_in_time(&self) -> bool {
         self.target.is_zero() || self.elapsed.saturating_add(self.expected_wait) <= self.target
     }
 }
 
 impl StepUpConfig {
-    /// Whether an answer is poor enough to ask a better model. A model that gives no opinion
-    /// is believed.
+    /// Whether a response is poor enough to call a better model. A response without a
+    /// confidence counts as good.
     pub fn is_poor(&self, priority: u8, confidence: Option<u8>) -> bool {
         let threshold = by_priority(&self.below_confidence, priority).unwrap_or(0);
         confidence.is_some_and(|confidence| confidence < threshold)
     }
 }
 
-/// The value of a priority; the last value holds for all that follow.
+/// The value of a priority; the last value applies to all further priorities.
 fn by_priority<T: Copy>(values: &[T], priority: u8) -> Option<T> {
     values.get(usize::from(priority)).or(values.last()).copied()
 }
--- a/tests/all/cascade.rs
+++ b/tests/all/cascade.rs
@@ -1,4 +1,4 @@
-//! The cascade in the running path: cheap first, better if the answer is poor.
+//! The cascade end to end: a cheap model first, a better one if its response is poor.
 
 use std::collections::BTreeMap;
 
@@ -24,8 +24,8 @@
     }
 }
 
-/// Asks for `auto` so often; how often each version answered.
-async fn answers(fleet: &Fleet, count: usize, stream: bool) -> BTreeMap<String, usize> {
+/// Sends `count` requests for `auto` and returns the number of responses by version.
+async fn count_by_target(fleet: &Fleet, count: usize, stream: bool) -> BTreeMap<String, usize> {
     let mut by_target = BTreeMap::new();
     for _ in 0..count {
         let answer = send(fleet.caller(0).chat("auto", "x", 4, stream)).await.expect("an answer");
@@ -41,21 +41,21 @@
     by_target
 }
 
-case!(good_cheap_answers_are_given, async {
+case!(good_responses_of_the_cheap_model_are_delivered, async {
     let fleet = Fleet::start(plan()).await;
-    let by_target = answers(&fleet, 40, false).await;
+    let by_target = count_by_target(&fleet, 40, false).await;
     assert!(by_target["cheap@v1"] >= 38, "{by_target:?}");
 });
 
-// Poor answers of the cheap model reach nobody, and it is soon left out.
-async fn poor_cheap_answers_are_replaced(stream: bool) {
+// Poor responses of the cheap model reach no caller, and soon it is no longer chosen.
+async fn check_poor_responses_are_replaced(stream: bool) {
     let fleet = Fleet::start(plan()).await;
     fleet.platform.set_quality("cheap@v1", 0.1);
-    let by_target = answers(&fleet, 60, stream).await;
+    let by_target = count_by_target(&fleet, 60, stream).await;
     assert_eq!(by_target.get("cheap@v1"), None, "{by_target:?}");
     let cheap_runs = fleet.engines[0].executions().len();
     assert!((1..=40).contains(&cheap_runs), "{cheap_runs} of 60");
-    // One record a request, with what both models used.
+    // One bill record per request, with the usage of both models.
     wait_until("all are billed", || async { fleet.entry_state(0).await["unsettled_bills"] == 0 })
         .await;
     let mut bills = BTreeMap::new();
@@ -64,32 +64,32 @@
         *held = (*held).max(record.cost_micros.0);
     }
     assert_eq!(bills.len(), 60);
-    // Five tokens at a thousandth each: once for one model, twice for both.
+    // Five tokens at 1000 micros per 1000 tokens: 5 for one model, 10 for both.
     let cascaded = bills.values().filter(|cost| **cost == 10).count();
     assert_eq!(cascaded, cheap_runs, "{bills:?}");
 }
 
-case!(poor_cheap_whole_answers_are_replaced, poor_cheap_answers_are_replaced(false));
-case!(poor_cheap_streamed_answers_are_replaced, poor_cheap_answers_are_replaced(true));
+case!(poor_responses_are_replaced, check_poor_responses_are_replaced(false));
+case!(poor_streamed_responses_are_replaced, check_poor_responses_are_replaced(true));
 
-// Nobody judges: what was learnt before decides.
-case!(a_rater_outage_falls_back_to_what_is_known, async {
+// Without the rater the quality known so far decides.
+case!(a_rater_outage_falls_back_to_known_quality, async {
     let fleet = Fleet::start(plan()).await;
-    answers(&fleet, 40, false).await;
+    count_by_target(&fleet, 40, false).await;
     fleet.platform.set_faults(Faults { outage: true, ..Faults::default() });
-    let by_target = answers(&fleet, 20, false).await;
+    let by_target = count_by_target(&fleet, 20, false).await;
     assert!(by_target["cheap@v1"] >= 18, "{by_target:?}");
 });
 
-case!(an_unknown_rater_means_the_best_model, async {
+case!(without_ratings_the_best_model_answers, async {
     let fleet = Fleet::start(plan()).await;
     fleet.platform.set_faults(Faults { outage: true, ..Faults::default() });
-    let by_target = answers(&fleet, 20, false).await;
+    let by_target = count_by_target(&fleet, 20, false).await;
     assert!(by_target["best@v1"] >= 10, "{by_target:?}");
 });
 
-// A session that began by the system's choice stays on the version it got.
-case!(a_session_stays_on_the_version_that_answered, async {
+// A session that began with `auto` stays on the version that was chosen.
+case!(a_session_stays_on_its_version, async {
     let fleet = Fleet::start(plan()).await;
     let first = send(fleet.caller(0).chat("auto", "x", 4, false)).await.expect("an answer");
     let session = first.session.expect("a session");
@@ -100,9 +100,9 @@
     }
 });
 
-// The first leg was called and failed, the second was refused: the request as a whole did
-// run, so "not run" would be false.
-case!(a_refused_second_leg_does_not_make_the_first_not_run, async {
+// The first model was called and failed, the second rejected the request. The request did run,
+// so "not run" would be false.
+case!(a_rejected_second_model_does_not_report_not_run, async {
     let mut fleet = Fleet::start(plan()).await;
     fleet.engines[0]
         .set_switches(EngineSwitches { fail_percent: 100, ..EngineSwitches::default() });
