--- a/crates/policy/src/retry/budget.rs
+++ b/crates/policy/src/retry/budget.rs
@@ -1,42 +1,40 @@
-//! A budget that keeps retries a small part of all traffic.
+//! A retry budget that limits retries to a fraction of all requests.
 
-/// Each request pays a part of a retry into the budget; each retry takes a whole one
-/// out. With every upstream failing, calls stay below `1 + percent / 100` of requests,
-/// plus the burst.
+/// Each request adds `percent` credits and each retry costs `CREDITS_PER_RETRY`. With all
+/// upstreams failing, calls stay below `1 + percent / 100` of the requests, plus the burst.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    /// In hundredths of a retry.
-    balance: u64,
+    credits: u64,
     percent: u64,
-    max_balance: u64,
+    max_credits: u64,
 }
 
-const WHOLE_RETRY: u64 = 100;
+const CREDITS_PER_RETRY: u64 = 100;
 
 impl RetryBudget {
-    /// A budget of `percent` retries for each hundred requests, and `burst` to begin with.
+    /// Creates a budget of `percent` retries per 100 requests, which starts with `burst`.
     pub fn new(percent: u32, burst: u32) -> Self {
-        let max_balance = u64::from(burst) * WHOLE_RETRY;
-        Self { balance: max_balance, percent: u64::from(percent), max_balance }
+        let max_credits = u64::from(burst) * CREDITS_PER_RETRY;
+        Self { credits: max_credits, percent: u64::from(percent), max_credits }
     }
 
-    /// From now on at most `burst` retries are made at once.
+    /// Limits the budget to `burst` retries at once.
     pub fn set_burst(&mut self, burst: u32) {
-        self.max_balance = u64::from(burst) * WHOLE_RETRY;
-        self.balance = self.balance.min(self.max_balance);
+        self.max_credits = u64::from(burst) * CREDITS_PER_RETRY;
+        self.credits = self.credits.min(self.max_credits);
     }
 
-    /// A request came.
+    /// Adds the credits of one request.
     pub fn request(&mut self) {
-        self.balance = (self.balance + self.percent).min(self.max_balance);
+        self.credits = (self.credits + self.percent).min(self.max_credits);
     }
 
-    /// Whether a retry may be made; if so, it is paid for.
+    /// Takes the credits of one retry; false if there are too few.
     pub fn take(&mut self) -> bool {
-        if self.balance < WHOLE_RETRY {
+        if self.credits < CREDITS_PER_RETRY {
             return false;
         }
-        self.balance -= WHOLE_RETRY;
+        self.credits -= CREDITS_PER_RETRY;
         true
     }
 }
--- a/crates/policy/src/retry/decision.rs
+++ b/crates/policy/src/retry/decision.rs
@@ -1,28 +1,28 @@
-//! Whether a request whose attempt did not succeed is tried elsewhere.
+//! Whether a request is retried on another upstream after a failed attempt.
 
-/// What is known when an attempt has not succeeded.
+/// The outcome of a failed attempt, as far as a retry depends on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptOutcome {
-    /// Whether the caller allows the request to run more than once.
+    /// Whether the request may run more than once.
     pub is_repeatable: bool,
-    /// Whether it is proved that the attempt did not run and will not.
+    /// Whether it is proved that the attempt has not run and will not run.
     pub is_proved_not_run: bool,
-    /// Whether a part of the answer has gone out to the caller.
+    /// Whether a part of the response was sent to the caller.
     pub is_delivered: bool,
-    /// Whether the upstream was called: such a retry costs work and takes budget.
+    /// Whether the upstream was called; such a retry draws on the budget.
     pub has_cost: bool,
     /// Attempts made so far.
     pub attempts: u32,
-    /// The most attempts.
+    /// The maximum number of attempts.
     pub max_attempts: u32,
 }
 
-/// Whether the request may be tried elsewhere; `take_budget` is asked only when a
-/// retry is otherwise allowed and has a cost.
-pub fn may_retry(facts: AttemptOutcome, take_budget: impl FnOnce() -> bool) -> bool {
-    let is_safe = facts.is_proved_not_run || facts.is_repeatable;
-    if !is_safe || facts.is_delivered || facts.attempts >= facts.max_attempts {
+/// Whether the request may be retried. `take_budget` is called only if a retry is otherwise
+/// allowed and has a cost.
+pub fn may_retry(outcome: AttemptOutcome, take_budget: impl FnOnce() -> bool) -> bool {
+    let is_safe = outcome.is_proved_not_run || outcome.is_repeatable;
+    if !is_safe || outcome.is_delivered || outcome.attempts >= outcome.max_attempts {
         return false;
     }
-    !facts.has_cost || take_budget()
+    !outcome.has_cost || take_budget()
 }
--- a/crates/policy/src/retry/ejection.rs
+++ b/crates/policy/src/retry/ejection.rs
@@ -1,4 +1,4 @@
-//! Upstreams that fail are left out for a while, but never too many at once.
+//! Outlier ejection: failing upstreams are not used for a time, up to a maximum share.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,17 +8,17 @@
 use stallhoist_core::HostId;
 use stallhoist_core::MonoTime;
 
-/// The pause is doubled at most so often.
+/// The maximum number of doublings of the pause.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// When an upstream is left out, and for how long.
+/// When an upstream is ejected, and for how long.
 #[derive(Debug, Clone)]
 pub struct EjectionConfig {
-    /// Failures in a row that make it so.
+    /// The number of consecutive failures that ejects an upstream.
     pub after_failures: u32,
-    /// The first pause; it doubles each time in a row.
+    /// The duration of the first ejection; it doubles with each consecutive one.
     pub pause: Duration,
-    /// The most that may be left out at once, in percent of those known, rounded up.
+    /// The maximum share of ejected upstreams, in percent of the known ones, rounded up.
     pub max_percent: u32,
 }
 
@@ -29,93 +29,93 @@
 }
 
 #[derive(Debug, Default)]
-struct Health {
-    failures_in_row: u32,
-    ejections_in_row: u32,
+struct HostState {
+    consecutive_failures: u32,
+    consecutive_ejections: u32,
     ejected_until: Option<MonoTime>,
-    /// After a pause, one request tries it before others follow.
-    trial_running: bool,
+    /// After the pause, a single request probes the upstream before others follow.
+    is_trial_running: bool,
 }
 
-/// Which upstreams are left out.
+/// Tracks failures and ejects upstreams.
 #[derive(Debug)]
 pub struct Ejection {
     config: EjectionConfig,
-    by_host: HashMap<HostId, Health>,
+    by_host: HashMap<HostId, HostState>,
 }
 
 impl Ejection {
-    /// Nobody is left out yet.
+    /// Creates a tracker without ejections.
     pub fn new(config: EjectionConfig) -> Self {
         Self { config, by_host: HashMap::new() }
     }
 
-    /// The upstreams among `hosts` that may be used now. When more than the allowed
-    /// part is left out, those longest out come back first; with none out, all are used.
+    /// The upstreams among `hosts` that may be used now. If more than the allowed share are
+    /// ejected, those whose ejection ends first are used again.
     pub fn usable(&self, now: MonoTime, hosts: &[HostId]) -> Vec<HostId> {
-        let mut out: Vec<_> = hosts.iter().filter(|h| self.is_out(now, h)).collect();
-        let max_out = self.max_out(hosts.len());
+        let mut out: Vec<_> = hosts.iter().filter(|h| self.is_ejected(now, h)).collect();
+        let max_ejected = self.max_ejected(hosts.len());
         out.sort_by_key(|host| self.by_host[*host].ejected_until);
-        let surplus = out.len().saturating_sub(max_out);
+        let surplus = out.len().saturating_sub(max_ejected);
         let kept_out = &out[surplus..];
         hosts.iter().filter(|host| !kept_out.contains(host)).cloned().collect()
     }
 
-    /// How many of so many may be left out: the stated part, rounded up, since one of
-    /// two must be, but never the last one.
-    fn max_out(&self, hosts: usize) -> usize {
+    /// How many of `hosts` upstreams may be ejected: the configured share, rounded up so that
+    /// one of two can be, but never all.
+    fn max_ejected(&self, hosts: usize) -> usize {
         let part = (hosts * self.config.max_percent as usize).div_ceil(100);
         part.min(hosts.saturating_sub(1))
     }
 
-    /// Work was sent to an upstream.
+    /// Records that a request was sent to an upstream.
     pub fn sent(&mut self, host: &HostId) {
-        if let Some(health) = self.by_host.get_mut(host)
-            && health.ejected_until.is_some()
+        if let Some(state) = self.by_host.get_mut(host)
+            && state.ejected_until.is_some()
         {
-            health.trial_running = true;
+            state.is_trial_running = true;
         }
     }
 
-    /// An upstream answered well.
+    /// Records a success.
     pub fn succeeded(&mut self, host: &HostId) {
         self.by_host.remove(host);
     }
 
-    /// Work that was sent ended without telling anything about the upstream.
+    /// Records that a request ended with neither success nor failure of the upstream.
     pub fn released(&mut self, host: &HostId) {
-        if let Some(health) = self.by_host.get_mut(host) {
-            health.trial_running = false;
+        if let Some(state) = self.by_host.get_mut(host) {
+            state.is_trial_running = false;
         }
     }
 
-    /// An upstream failed. The pause is lengthened by up to a half at random, so that
-    /// entries do not all come back at once.
+    /// Records a failure. The pause has a random jitter of up to one half, so that gateways do
+    /// not all return to the upstream at once.
     pub fn failed(&mut self, now: MonoTime, host: &HostId, rng: &mut impl Rng) {
-        let health = self.by_host.entry(host.clone()).or_default();
-        health.failures_in_row += 1;
-        let was_trial = std::mem::take(&mut health.trial_running);
-        if health.failures_in_row >= self.config.after_failures || was_trial {
-            let doublings = health.ejections_in_row.min(MAX_DOUBLINGS);
+        let state = self.by_host.entry(host.clone()).or_default();
+        state.consecutive_failures += 1;
+        let was_trial = std::mem::take(&mut state.is_trial_running);
+        if state.consecutive_failures >= self.config.after_failures || was_trial {
+            let doublings = state.consecutive_ejections.min(MAX_DOUBLINGS);
             let pause = self.config.pause * 2u32.pow(doublings);
             let jitter = pause.mul_f64(rng.random_range(0.0..0.5));
-            health.ejected_until = Some(now.after(pause + jitter));
-            health.ejections_in_row += 1;
+            state.ejected_until = Some(now.after(pause + jitter));
+            state.consecutive_ejections += 1;
         }
     }
 
-    /// Those left out now.
+    /// The upstreams that are ejected now.
     pub fn ejected(&self, now: MonoTime) -> Vec<HostId> {
-        let out = self.by_host.keys().filter(|host| self.is_out(now, host));
+        let out = self.by_host.keys().filter(|host| self.is_ejected(now, host));
         out.cloned().collect()
     }
 
-    fn is_out(&self, now: MonoTime, host: &HostId) -> bool {
-        let Some(health) = self.by_host.get(host) else {
+    fn is_ejected(&self, now: MonoTime, host: &HostId) -> bool {
+        let Some(state) = self.by_host.get(host) else {
             return false;
         };
-        match health.ejected_until {
-            Some(until) => now < until || health.trial_running,
+        match state.ejected_until {
+            Some(until) => now < until || state.is_trial_running,
             None => false,
         }
     }
--- a/crates/policy/src/retry/mod.rs
+++ b/crates/policy/src/retry/mod.rs
@@ -1,4 +1,5 @@
-//! Retries: whether, how many, and where not to.
+//! Retries: whether a request is retried, the retry budget, and the ejection of failing
+//! upstreams.
 
 mod budget;
 mod decision;
--- a/crates/policy/src/retry/progress.rs
+++ b/crates/policy/src/retry/progress.rs
@@ -1,124 +1,125 @@
-//! How far the attempts of one request have come, and what may follow.
+//! The state of the attempts of one request.
 
 use super::AttemptOutcome;
 use super::may_retry;
 
-/// Of the attempts of one request so many do not count, as their upstreams have ended. As many ends as
-/// hold a request back that others do not explain.
-const MAX_UNCOUNTED_ENDS: u32 = 3;
+/// The maximum number of attempts of a request that are not counted because their upstream
+/// crashed. It is the number of unexplained crashes after which a request is quarantined.
+const MAX_EXCUSED_CRASHES: u32 = 3;
 
-/// What a request allows.
+/// The retry rules of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestRules {
     /// Whether the request may run more than once.
     pub is_repeatable: bool,
-    /// Whether an answer that broke off may be continued by another attempt, after the last
-    /// part that the caller has.
+    /// Whether another attempt may continue a truncated response after the last chunk that was
+    /// sent to the caller.
     pub is_resumable: bool,
-    /// The most upstreams that the request is sent to.
+    /// The maximum number of attempts.
     pub max_attempts: u32,
-    /// The most connections that may fail to come up; none of them counts as an attempt.
+    /// The maximum number of failed connections, which do not count as attempts.
     pub max_connect_failures: u32,
 }
 
-/// How far the attempts of one request have come: what every interface for callers keeps of
-/// a request, and what it asks before another attempt.
+/// The state of the attempts of one request. Every caller interface keeps one per request
+/// and consults it before another attempt.
 ///
-/// Each attempt is told with [`sent`](Self::sent) when its request goes out, and with
+/// Each attempt is recorded with [`sent`](Self::sent) when its request is sent, and with
 /// [`proved_not_run`](Self::proved_not_run) if it turns out not to have run. Until then it
-/// counts as one that may have run, so that "not run" is never said wrongly.
+/// counts as one that may have run, so that "not run" is never reported wrongly.
 #[derive(Debug, Clone)]
 pub struct RequestProgress {
     rules: RequestRules,
     attempts: u32,
     connect_failures: u32,
-    /// Attempts of which it is not proved that they did not run.
+    /// Attempts that are not proved not to have run.
     unproved_attempts: u32,
-    is_last_proved: bool,
+    is_last_proved_not_run: bool,
     is_delivered: bool,
-    uncounted_ends: u32,
+    excused_crashes: u32,
 }
 
 impl RequestProgress {
-    /// A request of which nothing has been sent yet.
+    /// Creates the state of a request that was not sent yet.
     pub fn new(rules: RequestRules) -> Self {
         Self {
             rules,
             attempts: 0,
             connect_failures: 0,
             unproved_attempts: 0,
-            is_last_proved: false,
+            is_last_proved_not_run: false,
             is_delivered: false,
-            uncounted_ends: 0,
+            excused_crashes: 0,
         }
     }
 
-    /// The request is sent to an upstream, or may have reached it.
+    /// Records that the request is sent to an upstream, or may have reached it.
     pub fn sent(&mut self) {
         self.attempts += 1;
         self.unproved_attempts += 1;
-        self.is_last_proved = false;
+        self.is_last_proved_not_run = false;
     }
 
-    /// No connection came up, so nothing was sent. Says whether another may be tried.
+    /// Records a failed connection, on which nothing was sent. Returns whether another may be
+    /// tried.
     pub fn connect_failed(&mut self) -> bool {
         self.connect_failures += 1;
         self.connect_failures < self.rules.max_connect_failures
     }
 
-    /// It is proved that the attempt that was sent last did not run and will not.
+    /// Records a proof that the last attempt has not run and will not run.
     pub fn proved_not_run(&mut self) {
-        if !self.is_last_proved {
+        if !self.is_last_proved_not_run {
             self.unproved_attempts = self.unproved_attempts.saturating_sub(1);
-            self.is_last_proved = true;
+            self.is_last_proved_not_run = true;
         }
     }
 
-    /// The upstream of an attempt has ended while it ran it. What ran beside a request that ends
-    /// upstreams has done nothing: such an attempt does not count, so often at most. It may have run
-    /// all the same.
+    /// Records that the upstream of an attempt crashed while running it. Another request may have
+    /// crashed the upstream, so up to `MAX_EXCUSED_CRASHES` such attempts are not counted. They
+    /// may still have run.
     pub fn upstream_ended(&mut self) {
-        if self.uncounted_ends < MAX_UNCOUNTED_ENDS {
-            self.uncounted_ends += 1;
+        if self.excused_crashes < MAX_EXCUSED_CRASHES {
+            self.excused_crashes += 1;
             self.rules.max_attempts += 1;
         }
     }
 
-    /// A part of the answer goes out to the caller.
+    /// Records that a part of the response is sent to the caller.
     pub fn delivered(&mut self) {
         self.is_delivered = true;
     }
 
-    /// Whether a part of the answer has gone out to the caller.
+    /// Whether a part of the response was sent to the caller.
     pub fn is_delivered(&self) -> bool {
         self.is_delivered
     }
 
-    /// Attempts so far.
+    /// The number of attempts so far.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Whether an attempt may have run: if not, the caller may be told that nothing has.
+    /// Whether an attempt may have run. If not, the caller may be told that nothing has run.
     pub fn may_have_run(&self) -> bool {
         self.unproved_attempts > 0
     }
 
-    /// Whether the rules leave another attempt, whatever came of the others.
+    /// Whether fewer attempts were made than the maximum.
     pub fn has_attempt_left(&self) -> bool {
         self.attempts < self.rules.max_attempts
     }
 
-    /// Whether the next attempt is the last one.
+    /// Whether the next attempt is the last.
     pub fn is_next_last(&self) -> bool {
         self.attempts + 1 >= self.rules.max_attempts
     }
 
-    /// Whether the request, whose last attempt did not give the whole answer, may be sent to
-    /// another upstream. `has_cost` says whether the attempt took an upstream's time; only
-    /// then `take_budget` is asked, and only when the rest allows it.
+    /// Whether the request may be sent to another upstream after an attempt without a complete
+    /// response. `has_cost` says whether the attempt used an upstream; only then `take_budget` is
+    /// called, and only if a retry is otherwise allowed.
     pub fn may_retry(&self, has_cost: bool, take_budget: impl FnOnce() -> bool) -> bool {
-        let facts = AttemptOutcome {
+        let outcome = AttemptOutcome {
             is_repeatable: self.rules.is_repeatable,
             is_proved_not_run: !self.may_have_run(),
             is_delivered: self.is_delivered && !self.rules.is_resumable,
@@ -126,6 +127,6 @@
             attempts: self.attempts,
             max_attempts: self.rules.max_attempts,
         };
-        may_retry(facts, take_budget)
+        may_retry(outcome, take_budget)
     }
 }
--- a/tests/all/decisions/request_progress.rs
+++ b/tests/all/decisions/request_progress.rs
@@ -1,24 +1,24 @@
-//! What may follow the attempts of a request, whichever interface took it.
+//! Whether a request may be retried, and whether it may have run.
 
 use stallhoist_policy::retry::RequestProgress;
 use stallhoist_policy::retry::RequestRules;
 
-/// What happened to a request, in order.
+/// An event of a request.
 #[derive(Debug, Clone, Copy)]
-enum Happened {
-    /// An attempt may have run; its answer did not come whole.
+enum Event {
+    /// An attempt failed and may have run.
     Failed,
-    /// An upstream promised that it did not run it.
-    TurnedAway,
-    /// The upstream ended while it ran it.
+    /// An attempt was proved not to have run.
+    ProvedNotRun,
+    /// The upstream crashed while running an attempt.
     Ended,
-    /// A part of the answer went out to the caller.
+    /// A part of the response was sent to the caller.
     Delivered,
 }
-use Happened::Delivered;
-use Happened::Ended;
-use Happened::Failed;
-use Happened::TurnedAway;
+use Event::Delivered;
+use Event::Ended;
+use Event::Failed;
+use Event::ProvedNotRun;
 
 const REPEATABLE: RequestRules = RequestRules {
     is_repeatable: true,
@@ -27,14 +27,14 @@
     max_connect_failures: 2,
 };
 const RESUMABLE: RequestRules = RequestRules { is_resumable: true, ..REPEATABLE };
-const ONCE: RequestRules = RequestRules { is_repeatable: false, ..REPEATABLE };
+const AT_MOST_ONCE: RequestRules = RequestRules { is_repeatable: false, ..REPEATABLE };
 
-fn after(rules: RequestRules, happened: &[Happened]) -> RequestProgress {
+fn after(rules: RequestRules, events: &[Event]) -> RequestProgress {
     let mut progress = RequestProgress::new(rules);
-    for event in happened {
+    for event in events {
         match event {
             Failed => progress.sent(),
-            TurnedAway => {
+            ProvedNotRun => {
                 progress.sent();
                 progress.proved_not_run();
             }
@@ -48,42 +48,78 @@
     progress
 }
 
-/// A name, the rules, what happened, whether it may be tried again, and whether the caller
-/// must not be told that it has not run.
-macro_rules! follows {
-    ($name:ident, $rules:expr, $happened:expr, $may_retry:expr, $may_have_run:expr) => {
+/// A name, the rules, the events, whether the request may be retried, and whether it may have
+/// run.
+macro_rules! progress_case {
+    ($name:ident, $rules:expr, $events:expr, $may_retry:expr, $may_have_run:expr) => {
         #[test]
         fn $name() {
-            let progress = after($rules, &$happened);
+            let progress = after($rules, &$events);
             assert_eq!(progress.may_retry(true, || true), $may_retry, "{progress:?}");
             assert_eq!(progress.may_have_run(), $may_have_run, "{progress:?}");
         }
     };
 }
 
-follows!(a_failure_of_a_repeatable_request, REPEATABLE, [Failed], true, true);
-follows!(the_last_attempt, REPEATABLE, [Failed, Failed, Failed], false, true);
-follows!(ended_upstreams_do_not_count, REPEATABLE, [Ended, Ended, Ended, Failed], true, true);
-follows!(three_of_them, REPEATABLE, [Ended, Ended, Ended, Ended, Failed, Failed], false, true);
-follows!(an_ended_upstream_may_have_run_it_once, ONCE, [Ended], false, true);
-follows!(turned_away_to_the_last, REPEATABLE, [TurnedAway, TurnedAway, TurnedAway], false, false);
-follows!(turned_away_after_a_failure, REPEATABLE, [Failed, TurnedAway], true, true);
-follows!(a_failure_of_one_that_may_run_once, ONCE, [Failed], false, true);
-follows!(one_that_may_run_once_is_turned_away, ONCE, [TurnedAway, TurnedAway], true, false);
-follows!(one_that_may_run_once_fails_then, ONCE, [TurnedAway, Failed], false, true);
-follows!(a_part_is_out_and_it_starts_anew, REPEATABLE, [Failed, Delivered], false, true);
-follows!(a_part_is_out_and_it_goes_on, RESUMABLE, [Failed, Delivered], true, true);
+progress_case!(a_failed_repeatable_request, REPEATABLE, [Failed], true, true);
+progress_case!(the_last_attempt, REPEATABLE, [Failed, Failed, Failed], false, true);
+progress_case!(
+    crashed_upstreams_do_not_count,
+    REPEATABLE,
+    [Ended, Ended, Ended, Failed],
+    true,
+    true
+);
+progress_case!(
+    up_to_three_crashes_are_not_counted,
+    REPEATABLE,
+    [Ended, Ended, Ended, Ended, Failed, Failed],
+    false,
+    true
+);
+progress_case!(a_crashed_upstream_may_have_run_it, AT_MOST_ONCE, [Ended], false, true);
+progress_case!(
+    rejected_by_all_attempts,
+    REPEATABLE,
+    [ProvedNotRun, ProvedNotRun, ProvedNotRun],
+    false,
+    false
+);
+progress_case!(rejected_after_a_failure, REPEATABLE, [Failed, ProvedNotRun], true, true);
+progress_case!(a_failed_at_most_once_request, AT_MOST_ONCE, [Failed], false, true);
+progress_case!(
+    a_rejected_at_most_once_request,
+    AT_MOST_ONCE,
+    [ProvedNotRun, ProvedNotRun],
+    true,
+    false
+);
+progress_case!(
+    an_at_most_once_request_fails_after_a_rejection,
+    AT_MOST_ONCE,
+    [ProvedNotRun, Failed],
+    false,
+    true
+);
+progress_case!(
+    a_partly_delivered_response_is_not_restarted,
+    REPEATABLE,
+    [Failed, Delivered],
+    false,
+    true
+);
+progress_case!(a_partly_delivered_response_is_resumed, RESUMABLE, [Failed, Delivered], true, true);
 
 #[test]
-fn an_attempt_is_proved_once() {
-    let mut progress = after(REPEATABLE, &[Failed, TurnedAway]);
+fn a_proof_counts_once_per_attempt() {
+    let mut progress = after(REPEATABLE, &[Failed, ProvedNotRun]);
     progress.proved_not_run();
     assert!(progress.may_have_run(), "the first attempt may still have run");
 }
 
 #[test]
-fn connections_that_fail_are_no_attempts_but_bounded() {
-    let mut progress = RequestProgress::new(ONCE);
+fn failed_connections_are_not_attempts_and_are_bounded() {
+    let mut progress = RequestProgress::new(AT_MOST_ONCE);
     assert!(progress.connect_failed());
     assert!(!progress.connect_failed());
     assert_eq!(progress.attempts(), 0);
@@ -91,10 +127,10 @@
 }
 
 #[test]
-fn the_budget_is_asked_only_for_what_costs_and_is_allowed() {
+fn the_budget_is_used_only_for_allowed_retries_with_a_cost() {
     let progress = after(REPEATABLE, &[Failed]);
     assert!(!progress.may_retry(true, || false));
-    assert!(progress.may_retry(false, || panic!("it costs nothing")));
-    let used_up = after(ONCE, &[Failed]);
-    assert!(!used_up.may_retry(true, || panic!("it is not allowed anyway")));
+    assert!(progress.may_retry(false, || panic!("the retry has no cost")));
+    let used_up = after(AT_MOST_ONCE, &[Failed]);
+    assert!(!used_up.may_retry(true, || panic!("the retry is not allowed")));
 }
