--- a/crates/policy/src/guard/config.rs
+++ b/crates/policy/src/guard/config.rs
@@ -1,24 +1,24 @@
-//! What the guard aims for.
+//! Settings of the guard.
 
-/// What the guard aims for.
+/// Settings of the guard.
 #[derive(Debug, Clone)]
 pub struct GuardConfig {
-    /// How unlikely of a healthy version the evidence must be for a hold. The chance that
-    /// one is ever held is higher, since it may be tested anew for ever; it is measured.
+    /// The significance level of the test. The probability that a healthy version is ever held
+    /// is higher, since the test runs for an unlimited time and its value has a lower bound.
     pub alpha: f64,
-    /// How much worse than its siblings a version may be.
+    /// The tolerated increase of the failure rate over the siblings' rate.
     pub margin: f64,
-    /// The failure rate assumed of siblings of which nothing is known.
+    /// The prior failure rate of siblings.
     pub prior_rate: f64,
-    /// How many answers the assumption counts as.
+    /// The weight of the prior, in responses.
     pub prior_answers: f64,
-    /// A version with fewer answers is new if a sibling has many.
+    /// The number of responses below which a version is new, if it has an established sibling.
     pub new_below_answers: u64,
-    /// How many answers make a version established.
+    /// The number of responses from which on a version is established.
     pub established_answers: u64,
-    /// The share of a new version's model's work that it begins with, in percent.
+    /// The initial share of a new version in the new requests of its model, in percent.
     pub first_share_percent: f64,
-    /// After so many answers without a hold, a new version's share doubles.
+    /// The number of responses without a hold after which the share of a new version doubles.
     pub double_after_answers: u64,
 }
 
--- a/crates/policy/src/guard/counts.rs
+++ b/crates/policy/src/guard/counts.rs
@@ -1,25 +1,25 @@
-//! What was counted of a version on one upstream.
+//! Counters of a version on one upstream.
 
 use std::ops::Add;
 
-/// What was counted of a version on one upstream since its sidecar started.
+/// Counters of a version on one upstream since its sidecar started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EvidenceCounts {
-    /// Attempts that ended, good or bad.
+    /// Attempts that ended, whether they succeeded or failed.
     pub answers: u64,
-    /// Those that failed, broke off or came empty.
+    /// Attempts that failed or whose response was truncated or empty.
     pub failures: u64,
-    /// Answers that were rated.
+    /// Rated responses.
     pub ratings: u64,
-    /// Those that were rated poor.
+    /// Responses that were rated poor.
     pub poor_ratings: u64,
 }
 
 impl EvidenceCounts {
-    /// What came since `earlier`; everything, when the counts have started anew.
+    /// The increase since `earlier`; all counts if the counters were reset meanwhile.
     pub(crate) fn since(self, earlier: Self) -> Self {
-        let has_restarted = self.answers < earlier.answers || self.ratings < earlier.ratings;
-        if has_restarted {
+        let is_reset = self.answers < earlier.answers || self.ratings < earlier.ratings;
+        if is_reset {
             return self;
         }
         Self {
--- a/crates/policy/src/guard/mod.rs
+++ b/crates/policy/src/guard/mod.rs
@@ -1,10 +1,10 @@
-//! The guard: holds back a version that turns bad, and lets a new one grow only as far
-//! as the evidence for it goes.
+//! The guard: stops new requests to a version that degrades, and limits the share of a new
+//! version until it has enough good responses.
 //!
-//! Evidence is what the sidecars count: answers, failures, ratings. Each version is
-//! tested against its siblings with a test that may be looked at after every answer. A
-//! failing upstream is told from a failing version by leaving out the worst upstream.
-//! A hold changes none of the operators' cells.
+//! The evidence are the counters of the sidecars: responses, failures and ratings. Each
+//! version is compared with its siblings by a sequential test, which may be evaluated after
+//! every response. Leaving out one upstream at a time distinguishes a failing upstream from
+//! a failing version. A hold changes none of the operators' table cells.
 
 mod config;
 mod counts;
--- a/crates/policy/src/guard/version_guard.rs
+++ b/crates/policy/src/guard/version_guard.rs
@@ -13,13 +13,13 @@
 
 const WHOLE_PERCENT: f64 = 100.0;
 
-/// What a version is held for.
+/// Why a version is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HoldCause {
-    /// Its answers fail more often than its siblings'.
+    /// Its responses fail more often than those of its siblings.
     Failures,
-    /// Its answers are rated poor more often than its siblings'.
+    /// Its responses are rated poor more often than those of its siblings.
     Ratings,
 }
 
@@ -32,56 +32,56 @@
     }
 }
 
-/// A version that is held back, and the counts at that moment.
+/// A version that receives no new requests, with its counters when the hold began.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Hold {
     /// The version.
     pub version: ModelVersion,
-    /// What for.
+    /// Why it is held.
     pub cause: HoldCause,
-    /// Answers by then.
+    /// Responses until then.
     pub answers: u64,
     /// Failures among them.
     pub failures: u64,
-    /// Ratings by then.
+    /// Ratings until then.
     pub ratings: u64,
     /// Poor ones among them.
     pub poor_ratings: u64,
 }
 
-/// Tests of one kind of observation of one version.
+/// The tests of one kind of observation of one version.
 #[derive(Debug, Default)]
 struct VersionTests {
     all: SequentialTest,
     by_upstream: BTreeMap<HostId, SequentialTest>,
-    /// For each upstream, the observations of all others.
-    without: BTreeMap<HostId, SequentialTest>,
+    /// For each upstream, the test over the observations of all others.
+    leave_one_out: BTreeMap<HostId, SequentialTest>,
 }
 
 impl VersionTests {
     fn observe(&mut self, host: &HostId, count: u64, bad: u64, base_rate: f64) {
         if !self.by_upstream.contains_key(host) {
             self.by_upstream.insert(host.clone(), SequentialTest::default());
-            self.without.insert(host.clone(), self.all);
+            self.leave_one_out.insert(host.clone(), self.all);
         }
         self.all.observe(count, bad, base_rate);
         if let Some(own) = self.by_upstream.get_mut(host) {
             own.observe(count, bad, base_rate);
         }
-        for (other, test) in &mut self.without {
+        for (other, test) in &mut self.leave_one_out {
             if other != host {
                 test.observe(count, bad, base_rate);
             }
         }
     }
 
-    /// Whether the version is bad, whichever upstream is left out, when there is more
-    /// than one: a single sick upstream does not speak for the version.
+    /// Whether the test rejects the version whichever upstream is left out, so that a single
+    /// failing upstream does not cause a hold. With a single upstream, none is left out.
     fn rejects(&self, alpha: f64) -> bool {
-        if self.without.len() < 2 {
+        if self.leave_one_out.len() < 2 {
             return self.all.rejects(alpha);
         }
-        self.without.values().all(|test| test.rejects(alpha))
+        self.leave_one_out.values().all(|test| test.rejects(alpha))
     }
 
     fn rejects_upstream(&self, host: &HostId, alpha: f64) -> bool {
@@ -89,7 +89,7 @@
     }
 }
 
-/// What an upstream reported last, and what of it counts.
+/// The last report of an upstream, and the counts since the last reset.
 #[derive(Debug, Default)]
 struct UpstreamCounts {
     reported: EvidenceCounts,
@@ -111,8 +111,8 @@
         counts.fold(EvidenceCounts::default(), |sum, counts| sum + counts)
     }
 
-    /// Takes in a report and gives what is new in it.
-    fn take(&mut self, host: &HostId, counts: EvidenceCounts) -> EvidenceCounts {
+    /// Stores a report and returns its increase over the previous one.
+    fn merge_report(&mut self, host: &HostId, counts: EvidenceCounts) -> EvidenceCounts {
         let upstream = self.counts.entry(host.clone()).or_default();
         let new = counts.since(upstream.reported);
         upstream.reported = counts;
@@ -129,13 +129,13 @@
 }
 
 impl Guard {
-    /// A guard that has seen nothing.
+    /// Creates a guard without observations.
     pub fn new(config: GuardConfig) -> Self {
         Self { config, versions: BTreeMap::new() }
     }
 
-    /// Takes in what a sidecar has counted of a version since it started. A new hold, if
-    /// this is what tips the scales.
+    /// Records the counters of a sidecar for a version, which count from the start of the
+    /// sidecar. Returns the hold if this report causes one.
     pub fn report(
         &mut self,
         host: &HostId,
@@ -143,12 +143,12 @@
         counts: EvidenceCounts,
     ) -> Option<Hold> {
         let failure_rate = self.base_rate(version, |c| (c.answers, c.failures));
-        // Models differ in how well they answer, so ratings are judged against siblings
-        // alone; failures are judged against an assumption where there are none.
+        // Models differ in quality, so ratings are compared with siblings only. Failures are
+        // compared with the prior where there is no sibling.
         let has_rated_sibling = self.rated_siblings(version) >= self.config.prior_answers;
         let poor_rate = self.base_rate(version, |c| (c.ratings, c.poor_ratings));
         let evidence = self.versions.entry(version.clone()).or_default();
-        let new = evidence.take(host, counts);
+        let new = evidence.merge_report(host, counts);
         evidence.failures.observe(host, new.answers, new.failures, failure_rate);
         if has_rated_sibling {
             evidence.ratings.observe(host, new.ratings, new.poor_ratings, poor_rate);
@@ -156,7 +156,7 @@
         if evidence.hold.is_some() {
             return None;
         }
-        // Two tests share the chance of a false hold.
+        // The two tests share the significance level.
         let alpha = self.config.alpha / 2.0;
         let cause = if evidence.failures.rejects(alpha) {
             HoldCause::Failures
@@ -177,7 +177,7 @@
         evidence.hold.clone()
     }
 
-    /// Whether a version is held back.
+    /// Whether a version is held.
     pub fn is_held(&self, version: &ModelVersion) -> bool {
         self.versions.get(version).is_some_and(|evidence| evidence.hold.is_some())
     }
@@ -187,8 +187,8 @@
         self.versions.values().filter_map(|evidence| evidence.hold.clone()).collect()
     }
 
-    /// The operators' count of clearings of a version. When it has grown, the hold and
-    /// the evidence so far are forgotten.
+    /// Applies the operators' number of resets of a version. An increase clears the hold and the
+    /// evidence so far.
     pub fn set_resets(&mut self, version: &ModelVersion, resets: u64) {
         let Some(evidence) = self.versions.get_mut(version) else {
             return;
@@ -205,8 +205,8 @@
         }
     }
 
-    /// The most of its model's new work that a version may take, in percent: all, unless
-    /// it is new and a sibling is established.
+    /// The maximum share of a version in the new requests of its model, in percent. It is below
+    /// 100 only for a new version with an established sibling.
     pub fn cap_percent(&self, version: &ModelVersion) -> f64 {
         let answers = self.answers(version);
         if answers >= self.config.new_below_answers || !self.has_established_sibling(version) {
@@ -217,7 +217,7 @@
         share.min(WHOLE_PERCENT)
     }
 
-    /// Upstreams that fail while their version does not: sick ones, to be left out.
+    /// Upstreams that fail while their version does not. They should not be used.
     pub fn sick_upstreams(&self) -> Vec<(HostId, ModelVersion)> {
         let mut sick = Vec::new();
         for (version, evidence) in &self.versions {
@@ -250,13 +250,14 @@
         self.versions.iter().filter(move |(other, _)| is_sibling(other))
     }
 
-    /// Ratings of a version's siblings.
+    /// The number of ratings of a version's siblings.
     fn rated_siblings(&self, version: &ModelVersion) -> f64 {
         let ratings = self.siblings(version).map(|(_, evidence)| evidence.total().ratings);
         ratings.sum::<u64>() as f64
     }
 
-    /// The rate that is still good for a version: its healthy siblings' and the margin.
+    /// The highest acceptable rate of a version: that of its siblings without a hold, plus the
+    /// margin.
     fn base_rate(&self, version: &ModelVersion, of: fn(&EvidenceCounts) -> (u64, u64)) -> f64 {
         let healthy = self.siblings(version).filter(|(_, evidence)| evidence.hold.is_none());
         let (count, bad) = healthy
--- a/tests/all/guard.rs
+++ b/tests/all/guard.rs
@@ -1,5 +1,5 @@
-//! The guard in the running path: a version that turns bad is held, visibly, and cleared
-//! by one command; no cell of the operators' is touched.
+//! The guard end to end: a degraded version is held, the hold is listed, and one command
+//! clears it; no table cell of the operators changes.
 
 use std::process::Command;
 
@@ -12,7 +12,7 @@
 use crate::harness::send;
 use crate::harness::wait_until;
 
-/// Two versions with two engines each; ratings are of every answer.
+/// Two versions with two engines each; every response is rated.
 fn plan() -> Plan {
     Plan {
         engines: vec!["m@v1", "m@v1", "m@v2", "m@v2"],
@@ -33,17 +33,17 @@
     holds.iter().any(|hold| hold["version"] == version)
 }
 
-async fn ask_until_held(fleet: &Fleet, version: &str) -> usize {
-    for asked in 0..600 {
+async fn send_until_held(fleet: &Fleet, version: &str) -> usize {
+    for sent in 0..600 {
         if is_held(fleet, version).await {
-            return asked;
+            return sent;
         }
         send(fleet.caller(0).chat("m", "x", 2, false)).await.expect("an answer");
     }
     panic!("{version} was never held");
 }
 
-async fn all_go_to(fleet: &Fleet, version: &str) {
+async fn assert_all_go_to(fleet: &Fleet, version: &str) {
     for _ in 0..20 {
         let answer = send(fleet.caller(0).chat("m", "x", 2, false)).await.expect("an answer");
         assert_eq!((answer.outcome.as_str(), answer.target.as_str()), ("completed", version));
@@ -54,8 +54,8 @@
     let fleet = Fleet::start(plan()).await;
     fleet.engines[2].set_switches(failing());
     fleet.engines[3].set_switches(failing());
-    ask_until_held(&fleet, "m@v2").await;
-    all_go_to(&fleet, "m@v1").await;
+    send_until_held(&fleet, "m@v2").await;
+    assert_all_go_to(&fleet, "m@v1").await;
     let addr = fleet.entries[0].addr("operators_addr");
     let table = fleet.operators(addr, "/v1/table").await;
     assert_eq!(table["revision"], 1, "no cell was touched");
@@ -81,12 +81,12 @@
 case!(a_version_with_poor_ratings_is_held, async {
     let fleet = Fleet::start(plan()).await;
     fleet.platform.set_quality("m@v2", 0.1);
-    ask_until_held(&fleet, "m@v2").await;
-    all_go_to(&fleet, "m@v1").await;
+    send_until_held(&fleet, "m@v2").await;
+    assert_all_go_to(&fleet, "m@v1").await;
 });
 
-// One of two upstreams is sick; the version is not.
-case!(a_sick_upstream_is_told_from_a_sick_version, async {
+// Only one of two upstreams of the version fails.
+case!(a_failing_upstream_does_not_hold_its_version, async {
     let fleet = Fleet::start(plan()).await;
     fleet.engines[3].set_switches(failing());
     for _ in 0..150 {
@@ -95,13 +95,13 @@
     assert!(!is_held(&fleet, "m@v2").await);
 });
 
-// A session on a held version goes on: only new work is held back.
-case!(sessions_of_a_held_version_go_on, async {
+// A hold stops only new requests, not those of sessions on the version.
+case!(sessions_of_a_held_version_continue, async {
     let fleet = Fleet::start(plan()).await;
     let first = send(fleet.caller(0).chat("m@v2", "x", 2, false)).await.expect("an answer");
     let session = first.session.expect("a session");
     fleet.platform.set_quality("m@v2", 0.1);
-    ask_until_held(&fleet, "m@v2").await;
+    send_until_held(&fleet, "m@v2").await;
     let request = fleet.caller(0).chat("m", "x", 2, false).header("Stallhoist-Session", session);
     let answer = send(request).await.expect("an answer");
     assert_eq!((answer.outcome.as_str(), answer.target.as_str()), ("completed", "m@v2"));
