--- a/crates/policy/src/placement/choose.rs
+++ b/crates/policy/src/placement/choose.rs
@@ -1,4 +1,4 @@
-//! The choice among those that answered.
+//! The choice among the upstreams that replied to a probe.
 
 use std::time::Duration;
 
@@ -7,48 +7,48 @@
 use stallhoist_core::HostId;
 use stallhoist_core::NotRunReason;
 
-/// What an upstream answered to a probe.
+/// An upstream's reply to a probe.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// Which upstream.
+    /// The host of the upstream.
     pub host: HostId,
-    /// Its predicted time to the first token.
+    /// The predicted time to the first token.
     pub first_token: Duration,
-    /// The time the probe took there and back.
+    /// The round-trip time of the probe.
     pub round_trip: Duration,
-    /// How much runs and waits there.
+    /// The number of running and queued requests.
     pub load_requests: u32,
-    /// Why it would refuse, and when it would not.
+    /// Why it would reject the request, and the retry time.
     pub refusal: Option<(NotRunReason, Duration)>,
 }
 
-/// The choice.
+/// The result of the choice.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Choice {
-    /// Send it there.
+    /// Send the request to this host.
     Send(HostId),
-    /// All that answered would refuse: come back after the shortest of their times.
+    /// All candidates would reject the request. The shortest of their retry times applies.
     Refuse {
-        /// Why the one with the shortest time would refuse.
+        /// The reason of the candidate with the shortest retry time.
         reason: NotRunReason,
-        /// When to come back.
+        /// The time after which to retry.
         retry_after: Duration,
     },
-    /// Nobody answered.
+    /// No upstream replied.
     NoCandidate,
 }
 
-/// Takes the one with the earliest predicted first token; of those equal to the
-/// millisecond the least loaded, of those a random one. Finer differences are noise of
-/// the connection, and would drown the load.
+/// Chooses the candidate with the earliest predicted first token in whole milliseconds;
+/// among equals the least loaded, and among those a random one. Differences below a
+/// millisecond are network jitter and would outweigh the load.
 pub fn choose(candidates: &[Candidate], rng: &mut impl Rng) -> Choice {
     let cost = |c: &Candidate| {
         let first_token = c.first_token + c.round_trip / 2;
         (first_token.as_millis(), c.load_requests)
     };
-    let willing: Vec<_> = candidates.iter().filter(|c| c.refusal.is_none()).collect();
-    if let Some(least) = willing.iter().map(|c| cost(c)).min() {
-        let best: Vec<_> = willing.iter().filter(|c| cost(c) == least).collect();
+    let accepting: Vec<_> = candidates.iter().filter(|c| c.refusal.is_none()).collect();
+    if let Some(least) = accepting.iter().map(|c| cost(c)).min() {
+        let best: Vec<_> = accepting.iter().filter(|c| cost(c) == least).collect();
         let at = rng.random_range(0..best.len());
         return Choice::Send(best[at].host.clone());
     }
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -1,9 +1,9 @@
-//! Placement: which upstream answers a request.
+//! Placement: which upstream runs a request.
 //!
-//! An entry stays connected to a bounded subset of each target's upstreams. For a
-//! request it asks a few of them and takes the one that predicts the earliest first
-//! token. What is asked: the session's last upstream, the one that the prompt's
-//! prefix is steered to, and random ones.
+//! A gateway stays connected to a bounded subset of each target's upstreams. For a request
+//! it probes a few of them and chooses the one that predicts the earliest first token. It
+//! probes the session's last upstream, those preferred by the affinity key of the prompt's
+//! prefix, and random ones.
 
 mod choose;
 mod probe_plan;
--- a/crates/policy/src/placement/probe_plan.rs
+++ b/crates/policy/src/placement/probe_plan.rs
@@ -1,4 +1,4 @@
-//! Which upstreams are asked about a request.
+//! Which upstreams are probed for a request.
 
 use rand::Rng;
 use rand::RngExt;
@@ -6,24 +6,24 @@
 
 use super::rendezvous_order;
 
-/// Upstreams that a request is steered to: with a second one, what spills over from the
-/// first is cached too.
-const STEERED: usize = 2;
+/// The number of upstreams that an affinity key prefers. With a second one, requests that
+/// overflow from the first find their prefix cached too.
+const AFFINITY_UPSTREAMS: usize = 2;
 
-/// What steers the choice of whom to ask.
+/// Inputs of the choice of upstreams to probe.
 #[derive(Debug, Clone, Default)]
 pub struct ProbePlan {
-    /// How many are asked.
+    /// The number of probes.
     pub probes: usize,
-    /// Where the session's last answer came from.
+    /// The host of the session's last response.
     pub session_host: Option<HostId>,
-    /// What steers equal requests together: the hash of the prompt's first block, or of
-    /// the request where the prompt has no whole block.
+    /// The affinity key: the hash of the prompt's first block, or of the request if the prompt
+    /// has no whole block.
     pub affinity_key: u64,
 }
 
-/// Chooses whom to ask: the session's last upstream, the two that the request is
-/// steered to, then random ones. `usable` are the connected ones; none is asked twice.
+/// Chooses the upstreams to probe: the session's last one, the two that the affinity key
+/// prefers, then random ones. `usable` are the connected upstreams; none is chosen twice.
 pub fn plan_probes(plan: &ProbePlan, usable: &[HostId], rng: &mut impl Rng) -> Vec<HostId> {
     let mut asked: Vec<HostId> = Vec::with_capacity(plan.probes);
     if let Some(host) = &plan.session_host
@@ -31,7 +31,7 @@
     {
         asked.push(host.clone());
     }
-    let preferred = affinity_order(plan.affinity_key, usable).into_iter().take(STEERED);
+    let preferred = affinity_order(plan.affinity_key, usable).into_iter().take(AFFINITY_UPSTREAMS);
     let new: Vec<_> = preferred.filter(|host| !asked.contains(host)).cloned().collect();
     asked.extend(new);
     asked.truncate(plan.probes);
@@ -43,8 +43,8 @@
     asked
 }
 
-/// The upstreams in the order in which a key is steered to them. The first is the one
-/// that keeps a refused caller's place.
+/// The upstreams in the order of preference of an affinity key. The first one holds the
+/// reservation of a rejected request.
 pub fn affinity_order(affinity_key: u64, usable: &[HostId]) -> Vec<&HostId> {
     rendezvous_order(&format!("steer {affinity_key:016x}"), usable)
 }
--- a/crates/policy/src/placement/subset.rs
+++ b/crates/policy/src/placement/subset.rs
@@ -1,4 +1,4 @@
-//! The upstreams that an entry stays connected to.
+//! The subset of upstreams that a gateway stays connected to.
 
 use std::cmp::Reverse;
 
@@ -6,7 +6,7 @@
 use stallhoist_core::ZoneName;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// An upstream host, as the host list gives it.
+/// An upstream host in the host list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
     /// The host.
@@ -15,12 +15,12 @@
     pub zone: ZoneName,
 }
 
-/// Of each four places of a subset, one is kept for other zones, so that the loss of
-/// a zone leaves the entry with upstreams it is already connected to.
-const PLACES_PER_FOREIGN_ONE: usize = 4;
+/// One of four members of a subset is in another availability zone, so that a gateway is
+/// still connected to upstreams after the loss of its own zone.
+const MEMBERS_PER_REMOTE_ONE: usize = 4;
 
-/// Hosts in the order of their rendezvous hash with `key`: a host's coming or going
-/// moves no other.
+/// Hosts in the order of their rendezvous hash with `key`. Adding or removing a host does not
+/// change the order of the others.
 pub fn rendezvous_order<'a>(
     key: &str,
     hosts: impl IntoIterator<Item = &'a HostId>,
@@ -31,19 +31,19 @@
     ordered
 }
 
-/// The upstreams of a target that entry `me` in `zone` stays connected to: at most
-/// `size`, most of them in its own zone. The result depends on nothing but the
-/// arguments, and hosts that come or go move few others.
+/// The upstreams of a target that gateway `me` in `zone` stays connected to: at most `size`,
+/// most of them in its own zone. The result is deterministic, and adding or removing a host
+/// changes few other members.
 pub fn subset(me: &HostId, zone: &ZoneName, members: &[Member], size: usize) -> Vec<HostId> {
-    let of_zone = |own: bool| {
+    let ordered_by_zone = |own: bool| {
         let hosts = members.iter().filter(|m| (&m.zone == zone) == own).map(|m| &m.host);
         rendezvous_order(me.as_str(), hosts)
     };
-    let near = of_zone(true);
-    let far = of_zone(false);
-    let far_share = (size / PLACES_PER_FOREIGN_ONE).max(1).min(far.len());
-    let near_count = near.len().min(size.saturating_sub(far_share));
-    let far_count = far.len().min(size - near_count);
-    let chosen = near.into_iter().take(near_count).chain(far.into_iter().take(far_count));
+    let local = ordered_by_zone(true);
+    let remote = ordered_by_zone(false);
+    let remote_share = (size / MEMBERS_PER_REMOTE_ONE).max(1).min(remote.len());
+    let local_count = local.len().min(size.saturating_sub(remote_share));
+    let remote_count = remote.len().min(size - local_count);
+    let chosen = local.into_iter().take(local_count).chain(remote.into_iter().take(remote_count));
     chosen.cloned().collect()
 }
