--- a/crates/policy/src/limits/bucket.rs
+++ b/crates/policy/src/limits/bucket.rs
@@ -4,34 +4,35 @@
 
 use stallhoist_core::MonoTime;
 
-/// The time whose rate may be used at once.
-const BURST_S: f64 = 1.0;
+/// The capacity of a bucket, as the time in which it fills.
+const BURST_WINDOW_S: f64 = 1.0;
 
-/// A token bucket that may be overdrawn: what is taken at once may be more than is left, and
-/// then nothing more is until it has been made up for.
+/// A token bucket that may be overdrawn: a single take may exceed the level, and the next one
+/// has to wait until the deficit is refilled.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Bucket {
-    /// None before the first use: a new bucket is full.
-    filled: Option<(MonoTime, f64)>,
+    /// The time of the last update and the level then. None before the first use: a new bucket
+    /// is full.
+    last_update: Option<(MonoTime, f64)>,
 }
 
 impl Bucket {
-    /// Fills at so much a second. Gives how long it takes until something may be taken; none
-    /// when that is now.
+    /// Refills the bucket at `rate_per_s` and returns the time until something may be taken; none
+    /// if that is now.
     pub(super) fn wait(&mut self, now: MonoTime, rate_per_s: f64) -> Option<Duration> {
-        let burst = (rate_per_s * BURST_S).max(1.0);
-        let level = match self.filled {
+        let burst = (rate_per_s * BURST_WINDOW_S).max(1.0);
+        let level = match self.last_update {
             Some((at, level)) => (level + now.since(at).as_secs_f64() * rate_per_s).min(burst),
             None => burst,
         };
-        self.filled = Some((now, level));
+        self.last_update = Some((now, level));
         let missing = 1.0 - level;
         (missing > 0.0).then(|| Duration::from_secs_f64(missing / rate_per_s))
     }
 
-    /// Takes what was waited for.
+    /// Takes an amount, which may exceed the level.
     pub(super) fn take(&mut self, amount: f64) {
-        if let Some((_, level)) = &mut self.filled {
+        if let Some((_, level)) = &mut self.last_update {
             *level -= amount;
         }
     }
--- a/crates/policy/src/limits/limiter.rs
+++ b/crates/policy/src/limits/limiter.rs
@@ -1,4 +1,4 @@
-//! What one entry has let in under the limits of one row.
+//! Enforcement of the limits of one row at one gateway.
 
 use std::time::Duration;
 
@@ -7,38 +7,39 @@
 use super::EntryShare;
 use super::bucket::Bucket;
 
-/// When to come back after too many requests were in progress: nobody knows when one ends.
+/// The retry time after the concurrency limit was reached; the end of a running request is
+/// unknown.
 const RETRY_AFTER_IN_FLIGHT: Duration = Duration::from_millis(500);
 
-/// The longest time that is told: limits and entries may have changed by then.
+/// The longest retry time; limits and gateways may have changed by then.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// The limits of a row over the whole fleet. Zero means that there is none.
+/// The fleet-wide limits of a row. Zero means no limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RowLimits {
-    /// The most requests in progress.
+    /// The maximum number of requests in progress.
     pub max_in_flight_requests: u32,
-    /// The most requests a second.
+    /// The maximum number of requests per second.
     pub max_requests_per_s: u32,
-    /// The most tokens a second, those of the prompt and those that may be generated.
+    /// The maximum number of tokens per second, of prompts plus the maximum of completions.
     pub max_tokens_per_s: u32,
 }
 
 impl RowLimits {
-    /// Whether there is no limit at all.
+    /// Whether no limit is set.
     pub fn is_unlimited(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// A limit is used up here.
+/// The error of a request that exceeds this gateway's share of a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitReached {
-    /// When it is worth coming back.
+    /// The time after which to retry.
     pub retry_after: Duration,
 }
 
-/// What one entry has let in under the limits of one row.
+/// Enforces the limits of one row at one gateway.
 #[derive(Debug, Clone, Default)]
 pub struct RowLimiter {
     in_flight: u32,
@@ -47,10 +48,10 @@
 }
 
 impl RowLimiter {
-    /// Lets a request of so many tokens in. It counts until [`ended`](Self::ended).
+    /// Admits a request of `tokens` tokens. It is in progress until [`ended`](Self::ended).
     ///
     /// # Errors
-    /// Fails when a limit is used up; the request then counts for none.
+    /// Fails if a limit is reached; the request then counts against no limit.
     pub fn admit(
         &mut self,
         now: MonoTime,
@@ -76,7 +77,7 @@
         Ok(())
     }
 
-    /// A request that was let in has ended.
+    /// Records the end of an admitted request.
     pub fn ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
--- a/crates/policy/src/limits/mod.rs
+++ b/crates/policy/src/limits/mod.rs
@@ -1,8 +1,9 @@
-//! Limits of a table row that hold over the whole fleet.
+//! Fleet-wide rate and concurrency limits of a table row.
 //!
-//! Each entry keeps to its own share, which follows from the list of entries alone: no write
-//! to the store and no message a request. The shares of entries with the same list add up to
-//! the limit. An entry whose list is old may not know of others, so its share shrinks.
+//! Each gateway enforces its own share of a limit, which depends on the list of gateways only,
+//! so a request needs no write to the store and no message. The shares of gateways with the
+//! same list add up to the limit. A gateway with an outdated list may lack others, so its share
+//! is reduced.
 
 mod bucket;
 mod limiter;
--- a/tests/all/decisions/limits.rs
+++ b/tests/all/decisions/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that hold over the whole fleet.
+//! Shares and enforcement of fleet-wide limits.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     (0..count).map(|n| format!("entry-{n}").parse().expect("a name")).collect()
 }
 
-fn alone() -> EntryShare {
+fn single_entry() -> EntryShare {
     EntryShare::of(&hosts(1)[0], &hosts(1), 0)
 }
 
@@ -25,15 +25,15 @@
             let shares: Vec<_> =
                 hosts.iter().map(|own| EntryShare::of(own, &hosts, salt)).collect();
             let whole: u32 = shares.iter().map(|share| share.whole_part(limit)).sum();
-            let divided: f64 = shares.iter().map(|share| share.part(limit)).sum();
+            let fractional: f64 = shares.iter().map(|share| share.part(limit)).sum();
             assert_eq!(whole, limit, "{count} entries");
-            assert!((divided - f64::from(limit)).abs() < 1e-9, "{count} entries: {divided}");
+            assert!((fractional - f64::from(limit)).abs() < 1e-9, "{count} entries: {fractional}");
         }
     }
 }
 
 #[test]
-fn what_cannot_be_divided_goes_to_another_entry_for_another_limit() {
+fn remainders_go_to_different_entries_for_different_limits() {
     let hosts = hosts(4);
     let holder =
         |salt| hosts.iter().position(|h| EntryShare::of(h, &hosts, salt).whole_part(1) == 1);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_entry_that_is_not_listed_yet_counts_itself() {
+fn an_unlisted_entry_counts_itself() {
     let hosts = hosts(4);
     let share = EntryShare::of(&hosts[3], &hosts[..3], 0);
     assert!((share.part(8) - 2.0).abs() < 1e-9);
@@ -53,7 +53,7 @@
 fn requests_in_progress_are_counted_until_they_end() {
     let limits = RowLimits { max_in_flight_requests: 2, ..RowLimits::default() };
     let mut limiter = RowLimiter::default();
-    let admit = |limiter: &mut RowLimiter| limiter.admit(at_ms(0), &limits, alone(), 10);
+    let admit = |limiter: &mut RowLimiter| limiter.admit(at_ms(0), &limits, single_entry(), 10);
     assert!(admit(&mut limiter).is_ok() && admit(&mut limiter).is_ok());
     let refused = admit(&mut limiter).expect_err("two are in progress");
     assert_eq!(refused.retry_after, Duration::from_millis(500));
@@ -61,21 +61,22 @@
     assert!(admit(&mut limiter).is_ok());
 }
 
-/// How many requests of so many tokens get in within ten seconds, one each 10 ms.
-fn admitted_in_ten_s(limits: RowLimits, share: EntryShare, tokens: u64) -> usize {
+/// How many requests of `tokens` tokens are admitted within 10 s, with one offered every 10 ms.
+fn admitted_in_10_s(limits: RowLimits, share: EntryShare, tokens: u64) -> usize {
     let mut limiter = RowLimiter::default();
     let times = (0..1_000).map(|n| at_ms(n * 10));
     times.filter(|now| limiter.admit(*now, &limits, share, tokens).is_ok()).count()
 }
 
-/// A name, the limits, the entries, the tokens of a request, and how many get in at one entry.
+/// A name, the limits, the entries, the tokens of a request, and the number admitted at one
+/// entry.
 macro_rules! rate {
     ($name:ident, $limits:expr, $entries:expr, $tokens:expr, $expected:expr) => {
         #[test]
         fn $name() {
             let hosts = hosts($entries);
             let share = EntryShare::of(&hosts[0], &hosts, 0);
-            let admitted = admitted_in_ten_s($limits, share, $tokens);
+            let admitted = admitted_in_10_s($limits, share, $tokens);
             assert!($expected.contains(&admitted), "{admitted}");
         }
     };
@@ -86,19 +87,20 @@
 const TOKENS: RowLimits =
     RowLimits { max_in_flight_requests: 0, max_requests_per_s: 0, max_tokens_per_s: 1_000 };
 
-// A second's worth may be used at once, so up to eleven seconds' get in within ten.
-rate!(requests_a_second, REQUESTS, 1, 10, (199..=220));
-rate!(a_quarter_of_them, REQUESTS, 4, 10, (49..=55));
-rate!(less_than_one_a_second, REQUESTS, 40, 10, (5..=6));
-rate!(tokens_a_second, TOKENS, 1, 100, (100..=111));
-rate!(requests_larger_than_the_rate, TOKENS, 1, 4_000, (3..=3));
+// The burst is the rate of one second, so up to 11 s of the rate are admitted within 10 s.
+rate!(request_rate, REQUESTS, 1, 10, (199..=220));
+rate!(request_rate_at_four_entries, REQUESTS, 4, 10, (49..=55));
+rate!(less_than_one_request_per_second, REQUESTS, 40, 10, (5..=6));
+rate!(token_rate, TOKENS, 1, 100, (100..=111));
+rate!(requests_larger_than_the_token_rate, TOKENS, 1, 4_000, (3..=3));
 rate!(no_limit, RowLimits::default(), 4, 10, (1_000..=1_000));
 
 #[test]
-fn it_tells_when_to_come_back() {
+fn a_rejection_has_the_time_until_the_bucket_is_refilled() {
     let mut limiter = RowLimiter::default();
-    limiter.admit(at_ms(0), &TOKENS, alone(), 3_000).expect("the first gets in");
-    let refused = limiter.admit(at_ms(0), &TOKENS, alone(), 1).expect_err("it is overdrawn");
+    limiter.admit(at_ms(0), &TOKENS, single_entry(), 3_000).expect("the first request is admitted");
+    let refused =
+        limiter.admit(at_ms(0), &TOKENS, single_entry(), 1).expect_err("the bucket is overdrawn");
     assert_eq!(refused.retry_after, Duration::from_millis(2_001));
-    assert!(limiter.admit(at_ms(2_001), &TOKENS, alone(), 1).is_ok());
+    assert!(limiter.admit(at_ms(2_001), &TOKENS, single_entry(), 1).is_ok());
 }
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of table rows over the whole fleet.
+//! Fleet-wide limits of table rows, end to end.
 
 use serde_json::json;
 use stallhoist_standins::engine::EngineSwitches;
@@ -9,17 +9,17 @@
 use crate::harness::send;
 use crate::harness::wait_until;
 
-/// Tokens of a request that takes several seconds, at 20 ms a token.
-const LONG: u64 = 400;
+/// Tokens of a request that takes several seconds, at 20 ms per token.
+const LONG_COMPLETION_TOKENS: u64 = 400;
 
-/// Two entries that know each other, and a limit for both.
+/// Two entries that list each other, with a limit across both.
 async fn fleet(cell: &'static str, value: &'static str) -> Fleet {
     let fleet = Fleet::start(Plan {
         entries: 2,
         engines: vec!["m@v1"],
         switches: EngineSwitches { step_base_us: 20_000, ..EngineSwitches::default() },
         cells: vec![(cell, value)],
-        // A list is believed for six polls, however busy the machine is.
+        // A list expires after six polls; the long interval keeps it valid on a busy machine.
         entry_settings: vec![("platform", "host_list_poll_ms", json!(2_000))],
         ..Plan::default()
     })
@@ -40,17 +40,17 @@
     assert!(answer.retry_after.is_some(), "it is told when to come back");
 }
 
-case!(requests_in_progress_are_limited_over_both_entries, async {
+case!(concurrency_is_limited_across_both_entries, async {
     let fleet = fleet("w/m@v1/max_in_flight_requests", "2").await;
     let mut running = Vec::new();
     for entry in 0..2 {
-        let request = fleet.caller(entry).chat("m@v1", "x", LONG, true);
+        let request = fleet.caller(entry).chat("m@v1", "x", LONG_COMPLETION_TOKENS, true);
         running.push(tokio::spawn(send(request)));
         let expected = running.len();
         wait_until("it runs", async || fleet.engines[0].executions().len() == expected).await;
         assert_refused(&fleet, entry).await;
     }
-    // A caller that leaves makes room.
+    // A caller that disconnects frees its share.
     running[0].abort();
     wait_until("the first entry takes requests again", async || {
         let answer = send(fleet.caller(0).chat("m@v1", "x", 1, false)).await;
@@ -60,10 +60,10 @@
     assert_refused(&fleet, 1).await;
 });
 
-case!(tokens_are_limited_over_both_entries, async {
+case!(token_rate_is_limited_across_both_entries, async {
     let fleet = fleet("w/m@v1/max_tokens_per_s", "10").await;
     for entry in 0..2 {
-        // More than a second's worth: it gets in and overdraws the share.
+        // More tokens than the rate of one second: it is admitted and overdraws the share.
         let answer = send(fleet.caller(entry).chat("m@v1", "x", 100, false)).await;
         assert_eq!(answer.expect("an answer").status, 200);
         assert_refused(&fleet, entry).await;
@@ -71,7 +71,7 @@
     assert_eq!(fleet.engines[0].executions().len(), 2);
 });
 
-case!(a_row_without_limits_takes_all, async {
+case!(a_row_without_limits_admits_all, async {
     let fleet = fleet("w/m@v1/max_requests_per_s", "0").await;
     for _ in 0..10 {
         let answer = send(fleet.caller(0).chat("m@v1", "x", 1, false)).await;
