--- a/crates/policy/src/version/mod.rs
+++ b/crates/policy/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! Version choice: which version of a model answers a new request.
+//! Version choice: which version of a model runs a new request.
 
 mod split;
 
--- a/crates/policy/src/version/split.rs
+++ b/crates/policy/src/version/split.rs
@@ -1,4 +1,4 @@
-//! New work is split among a model's versions by weight, within their ramps.
+//! Splits new requests among a model's versions by weight, up to their maximum shares.
 
 use rand::Rng;
 use rand::RngExt;
@@ -6,59 +6,59 @@
 
 const WHOLE_PERCENT: f64 = 100.0;
 
-/// What is known of one version.
+/// A version that may be chosen.
 #[derive(Debug, Clone, PartialEq)]
 pub struct VersionCandidate {
     /// The version.
     pub version: ModelVersion,
     /// The operators' weight.
     pub weight: u32,
-    /// The most of the model's new work it may take, in percent.
+    /// The maximum share of the model's new requests, in percent.
     pub cap_percent: f64,
-    /// Whether the guard holds it back.
+    /// Whether the guard holds the version.
     pub is_held: bool,
 }
 
 /// Why no version could be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionRefusal {
-    /// There is no version that takes new work.
+    /// No version takes new requests.
     NoneActive,
-    /// All that there are are held back.
+    /// All versions that take new requests are held.
     AllHeld,
 }
 
-/// Chooses a version at random by weight. A version gets no more than its cap while
-/// others can take the rest; what is capped away goes to the uncapped by their weights.
+/// Chooses a version at random by weight. No version gets more than its cap unless all are
+/// capped; the excess goes to the others by their weights.
 ///
 /// # Errors
-/// Fails when no version takes new work.
+/// Fails if no version takes new requests, or all that do are held.
 pub fn split(
     versions: &[VersionCandidate],
     rng: &mut impl Rng,
 ) -> Result<ModelVersion, VersionRefusal> {
-    let weighted: Vec<_> = versions.iter().filter(|v| v.weight > 0).collect();
-    if weighted.is_empty() {
+    let active: Vec<_> = versions.iter().filter(|v| v.weight > 0).collect();
+    if active.is_empty() {
         return Err(VersionRefusal::NoneActive);
     }
-    let open: Vec<_> = weighted.into_iter().filter(|v| !v.is_held).collect();
-    if open.is_empty() {
+    let eligible: Vec<_> = active.into_iter().filter(|v| !v.is_held).collect();
+    if eligible.is_empty() {
         return Err(VersionRefusal::AllHeld);
     }
-    let shares = capped_shares(&open);
+    let shares = capped_shares(&eligible);
     let total: f64 = shares.iter().sum();
     let mut point = rng.random_range(0.0..1.0) * total;
-    for (facts, share) in open.iter().zip(&shares) {
+    for (candidate, share) in eligible.iter().zip(&shares) {
         point -= share;
         if point < 0.0 {
-            return Ok(facts.version.clone());
+            return Ok(candidate.version.clone());
         }
     }
-    Ok(open[open.len() - 1].version.clone())
+    Ok(eligible[eligible.len() - 1].version.clone())
 }
 
-/// Shares of the whole by weight, each at most its cap; what the capped leave is
-/// shared by the others until nothing changes. When all are capped the rest is left.
+/// Shares by weight, each at most its cap. The excess of capped versions is distributed among
+/// the others until nothing changes. If all are capped, the shares add up to less than 1.
 fn capped_shares(versions: &[&VersionCandidate]) -> Vec<f64> {
     let mut shares = vec![0.0; versions.len()];
     let mut is_capped = vec![false; versions.len()];
--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -1,4 +1,5 @@
-//! Decisions, with the time and the random numbers given.
+//! Placement, admission, retry and version decisions, with simulated time and seeded random
+//! numbers.
 
 use std::time::Duration;
 
@@ -42,9 +43,9 @@
     MonoTime::default().after(Duration::from_millis(ms))
 }
 
-/// What may be tried elsewhere: repeatable, proved not run, delivered, costly, attempts,
-/// budget left, and the decision.
-const RETRIES: [(bool, bool, bool, bool, u32, bool, bool); 9] = [
+/// Inputs and decision: repeatable, proved not run, delivered, has cost, attempts, budget left,
+/// may retry.
+const RETRY_CASES: [(bool, bool, bool, bool, u32, bool, bool); 9] = [
     (true, false, false, true, 1, true, true),
     (true, false, false, true, 1, false, false),
     (true, false, true, true, 1, true, false),
@@ -58,10 +59,10 @@
 
 #[test]
 fn retry_decisions() {
-    for row in RETRIES {
+    for row in RETRY_CASES {
         let (is_repeatable, is_proved_not_run, is_delivered, has_cost, attempts, budget, expected) =
             row;
-        let facts = AttemptOutcome {
+        let outcome = AttemptOutcome {
             is_repeatable,
             is_proved_not_run,
             is_delivered,
@@ -69,12 +70,12 @@
             attempts,
             max_attempts: 3,
         };
-        assert_eq!(may_retry(facts, || budget), expected, "{facts:?}");
+        assert_eq!(may_retry(outcome, || budget), expected, "{outcome:?}");
     }
 }
 
 #[test]
-fn with_everything_failing_retries_stay_within_a_tenth() {
+fn retries_stay_within_ten_percent_when_all_upstreams_fail() {
     let mut budget = RetryBudget::new(10, 10);
     let mut retries = 0;
     for _ in 0..10_000 {
@@ -87,8 +88,8 @@
 }
 
 #[test]
-fn ejection_leaves_out_the_stated_part_and_never_the_last() {
-    for (count, most_out) in [(1, 0), (2, 1), (3, 1), (10, 3), (20, 6)] {
+fn ejection_respects_the_maximum_share_and_never_ejects_all() {
+    for (count, max_ejected) in [(1, 0), (2, 1), (3, 1), (10, 3), (20, 6)] {
         let hosts = hosts(count);
         let mut ejection = Ejection::new(EjectionConfig::default());
         for host in &hosts {
@@ -97,12 +98,12 @@
             }
         }
         let usable = ejection.usable(at_ms(1), &hosts);
-        assert_eq!(usable.len(), count - most_out, "of {count}");
+        assert_eq!(usable.len(), count - max_ejected, "of {count}");
     }
 }
 
 #[test]
-fn an_ejected_upstream_is_tried_by_one_first() {
+fn an_ejected_upstream_gets_one_trial_request() {
     let hosts = hosts(10);
     let mut ejection = Ejection::new(EjectionConfig::default());
     for _ in 0..5 {
@@ -111,23 +112,23 @@
     assert!(!ejection.usable(at_ms(1_000), &hosts).contains(&hosts[0]));
     assert!(ejection.usable(at_ms(4_000), &hosts).contains(&hosts[0]));
     ejection.sent(&hosts[0]);
-    assert!(!ejection.usable(at_ms(4_000), &hosts).contains(&hosts[0]), "one trial is enough");
+    assert!(!ejection.usable(at_ms(4_000), &hosts).contains(&hosts[0]), "only one trial request");
     ejection.failed(at_ms(4_100), &hosts[0], &mut rng());
     assert!(!ejection.usable(at_ms(7_000), &hosts).contains(&hosts[0]), "the pause has doubled");
     ejection.succeeded(&hosts[0]);
     assert!(ejection.usable(at_ms(7_000), &hosts).contains(&hosts[0]));
 }
 
-fn facts(name: &str, weight: u32, cap_percent: f64, is_held: bool) -> VersionCandidate {
+fn version(name: &str, weight: u32, cap_percent: f64, is_held: bool) -> VersionCandidate {
     VersionCandidate { version: name.parse().expect("a version"), weight, cap_percent, is_held }
 }
 
-/// The share of each version over many choices, in percent.
+/// The share of each version over 20,000 choices, in percent.
 fn shares(versions: &[VersionCandidate]) -> Vec<f64> {
     let mut rng = rng();
     let mut counts = vec![0.0; versions.len()];
     for _ in 0..20_000 {
-        let chosen = split(versions, &mut rng).expect("one takes work");
+        let chosen = split(versions, &mut rng).expect("a version is chosen");
         let at = versions.iter().position(|v| v.version == chosen).expect("one of them");
         counts[at] += 1.0 / 200.0;
     }
@@ -135,16 +136,16 @@
 }
 
 #[test]
-fn versions_share_by_weight_within_caps_and_holds() {
+fn requests_are_split_by_weight_within_caps_and_holds() {
     for (versions, expected) in [
-        (vec![facts("m@a", 3, 100.0, false), facts("m@b", 1, 100.0, false)], vec![75.0, 25.0]),
-        (vec![facts("m@a", 1, 100.0, false), facts("m@b", 1, 5.0, false)], vec![95.0, 5.0]),
-        (vec![facts("m@a", 1, 100.0, true), facts("m@b", 1, 5.0, false)], vec![0.0, 100.0]),
+        (vec![version("m@a", 3, 100.0, false), version("m@b", 1, 100.0, false)], vec![75.0, 25.0]),
+        (vec![version("m@a", 1, 100.0, false), version("m@b", 1, 5.0, false)], vec![95.0, 5.0]),
+        (vec![version("m@a", 1, 100.0, true), version("m@b", 1, 5.0, false)], vec![0.0, 100.0]),
         (
             vec![
-                facts("m@a", 1, 10.0, false),
-                facts("m@b", 1, 100.0, false),
-                facts("m@c", 2, 100.0, false),
+                version("m@a", 1, 10.0, false),
+                version("m@b", 1, 100.0, false),
+                version("m@c", 2, 100.0, false),
             ],
             vec![10.0, 30.0, 60.0],
         ),
@@ -156,10 +157,10 @@
 }
 
 #[test]
-fn no_version_is_no_choice() {
-    let none = split(&[facts("m@a", 0, 100.0, false)], &mut rng());
+fn without_an_active_version_none_is_chosen() {
+    let none = split(&[version("m@a", 0, 100.0, false)], &mut rng());
     assert_eq!(none, Err(VersionRefusal::NoneActive));
-    let held = split(&[facts("m@a", 1, 100.0, true)], &mut rng());
+    let held = split(&[version("m@a", 1, 100.0, true)], &mut rng());
     assert_eq!(held, Err(VersionRefusal::AllHeld));
 }
 
@@ -175,19 +176,19 @@
 }
 
 #[test]
-fn the_earliest_first_token_wins_then_the_least_load() {
-    let three =
+fn the_earliest_first_token_is_chosen_then_the_least_load() {
+    let candidates =
         [candidate(0, 30, 0, false), candidate(1, 10, 9, false), candidate(2, 10, 1, false)];
-    assert_eq!(choose(&three, &mut rng()), Choice::Send(three[2].host.clone()));
-    let refusing = [candidate(0, 30, 0, true), candidate(1, 10, 9, true)];
+    assert_eq!(choose(&candidates, &mut rng()), Choice::Send(candidates[2].host.clone()));
+    let rejecting = [candidate(0, 30, 0, true), candidate(1, 10, 9, true)];
     let retry_after = Duration::from_millis(10);
     let refuse = Choice::Refuse { reason: NotRunReason::Overloaded, retry_after };
-    assert_eq!(choose(&refusing, &mut rng()), refuse);
+    assert_eq!(choose(&rejecting, &mut rng()), refuse);
     assert_eq!(choose(&[], &mut rng()), Choice::NoCandidate);
 }
 
 #[test]
-fn probes_go_to_the_sessions_host_and_nobody_twice() {
+fn the_sessions_host_is_probed_and_no_host_twice() {
     let hosts = hosts(20);
     for key in 0..100 {
         let plan = ProbePlan { probes: 3, session_host: Some(hosts[4].clone()), affinity_key: key };
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn marks_are_few_and_reach_from_the_first_block_to_the_last() {
+fn prefix_marks_are_bounded_and_cover_the_first_and_the_last_block() {
     assert_eq!(prefix_marks(0), Vec::<usize>::new());
     assert_eq!(prefix_marks(1), [1]);
     assert_eq!(prefix_marks(8), [1, 2, 3, 4, 6, 8]);
@@ -214,7 +215,7 @@
 }
 
 #[test]
-fn a_subset_is_bounded_near_and_moves_little() {
+fn a_subset_is_bounded_prefers_its_zone_and_is_stable() {
     let member = |n: usize| Member {
         host: format!("host-{n}").parse().expect("a name"),
         zone: format!("zone-{}", n % 3).parse().expect("a name"),
@@ -225,15 +226,15 @@
     let before = subset(&me, &zone, &all, 12);
     assert_eq!(before.len(), 12);
     let near = all.iter().filter(|m| m.zone == zone && before.contains(&m.host)).count();
-    assert_eq!(near, 9, "a quarter is kept for other zones");
+    assert_eq!(near, 9, "one in four is in another zone");
     let without: Vec<_> = all.iter().filter(|m| m.host != before[0]).cloned().collect();
     let after = subset(&me, &zone, &without, 12);
     let moved = after.iter().filter(|host| !before.contains(host)).count();
-    assert_eq!(moved, 1, "only the lost one is replaced");
+    assert_eq!(moved, 1, "only the removed host is replaced");
 }
 
 #[test]
-fn the_step_time_is_learnt_and_held_for_most_steps() {
+fn the_step_model_fits_and_bounds_the_batch() {
     let mut steps = StepModel::default();
     for round in 0..2_000_u64 {
         let batch = 1 + (round % 40) as usize;
@@ -256,8 +257,8 @@
     }
 }
 
-/// A controller that has learnt that a call takes 100 ms, with one place.
-fn one_place() -> AdmissionController<u32> {
+/// A controller with one slot, whose estimate of a call is 100 ms.
+fn single_slot() -> AdmissionController<u32> {
     let config = AdmissionConfig { max_in_flight_requests: 1, ..AdmissionConfig::default() };
     let mut admission = AdmissionController::new(config);
     for id in 0..50 {
@@ -268,8 +269,8 @@
 }
 
 #[test]
-fn work_waits_in_the_order_of_its_due_times() {
-    let mut admission = one_place();
+fn queued_requests_start_in_deadline_order() {
+    let mut admission = single_slot();
     assert_eq!(admission.offer(at_ms(0), work(100, at_ms(0), 5_000)), AdmissionDecision::Start);
     assert_eq!(admission.offer(at_ms(1), work(101, at_ms(1), 1_500)), AdmissionDecision::Queued);
     assert_eq!(admission.offer(at_ms(2), work(102, at_ms(2), 700)), AdmissionDecision::Queued);
@@ -278,8 +279,8 @@
 }
 
 #[test]
-fn what_would_miss_its_time_is_refused_at_once_and_its_place_kept() {
-    let mut admission = one_place();
+fn a_late_request_is_rejected_on_arrival_with_a_reservation() {
+    let mut admission = single_slot();
     let mut refused = None;
     for id in 100..200 {
         if let AdmissionDecision::Refused { reason, retry_after } =
@@ -290,10 +291,10 @@
             break;
         }
     }
-    let (id, retry_after) = refused.expect("the queue has an end");
+    let (id, retry_after) = refused.expect("a request is rejected");
     assert_eq!(admission.reserved(), 1);
     let back = at_ms(0).after(retry_after);
-    // What ran and waited has gone on meanwhile.
+    // Meanwhile the running and queued requests continue.
     let mut now = at_ms(100);
     let mut running = 100;
     while now < back {
@@ -314,19 +315,19 @@
 }
 
 #[test]
-fn waiting_work_whose_time_has_passed_is_refused() {
-    let mut admission = one_place();
+fn an_overdue_queued_request_is_rejected() {
+    let mut admission = single_slot();
     admission.offer(at_ms(0), work(100, at_ms(0), 60_000));
     assert_eq!(admission.offer(at_ms(1), work(101, at_ms(1), 1_000)), AdmissionDecision::Queued);
-    let due = admission.next_due().expect("something waits");
+    let due = admission.next_due().expect("a request is queued");
     let late = due.after(Duration::from_millis(1));
     let refused = admission.next(late);
     assert!(matches!(refused[..], [QueueDecision::Refused { id: 101, .. }]), "{refused:?}");
 }
 
 #[test]
-fn a_deadline_that_has_passed_is_refused_as_such() {
-    let mut admission = one_place();
+fn a_passed_deadline_is_rejected_with_its_own_reason() {
+    let mut admission = single_slot();
     let refused = admission.offer(at_ms(5), work(100, at_ms(5), 0));
     assert!(matches!(
         refused,
