--- a/benches/cascade.rs
+++ b/benches/cascade.rs
@@ -16,7 +16,7 @@
 use stallhoist_measure::Spread;
 use stallhoist_policy::cascade::CascadeConfig;
 use stallhoist_policy::cascade::CascadeLearner;
-use stallhoist_policy::cascade::ModelFacts;
+use stallhoist_policy::cascade::CascadeModel;
 use stallhoist_policy::cascade::Plan;
 
 const SEEDS: [u64; 5] = [11, 22, 33, 44, 55];
@@ -147,7 +147,7 @@
     }
 
     fn sample(&mut self, request: usize, model: ModelName, is_good: bool) {
-        let is_sampled = self.learner.is_unknown(&model) || self.rng.random_bool(SAMPLE);
+        let is_sampled = self.learner.needs_ratings(&model) || self.rng.random_bool(SAMPLE);
         if is_sampled && self.has_rater(request) {
             self.ratings.push_back((request + LATE, model, is_good));
         }
@@ -168,8 +168,8 @@
             Policy::Hindsight => self.hindsight(request),
             Policy::Learnt => {
                 let models = [
-                    ModelFacts { model: cheap, price: CHEAP_COST },
-                    ModelFacts { model: best, price: BEST_COST },
+                    CascadeModel { model: cheap, price: CHEAP_COST },
+                    CascadeModel { model: best, price: BEST_COST },
                 ];
                 let (target, deadline) = (self.scenario.target, self.scenario.deadline);
                 let has_rater = self.has_rater(request);
--- a/crates/gateway/src/request/execution/mod.rs
+++ b/crates/gateway/src/request/execution/mod.rs
@@ -12,7 +12,7 @@
 use stallhoist_core::ModelName;
 use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::VersionName;
-use stallhoist_policy::cascade::BetterAnswer;
+use stallhoist_policy::cascade::StepUpTiming;
 use stallhoist_policy::retry::RequestProgress;
 use stallhoist_policy::retry::RequestRules;
 
@@ -256,7 +256,7 @@
     fn require_another(&mut self) -> Result<(), GiveUp> {
         if self.may_retry() {
             // Only one attempt is left: a small model's answer could not be bettered.
-            let is_last = self.progress.is_next_the_last() && !self.progress.is_delivered();
+            let is_last = self.progress.is_next_last() && !self.progress.is_delivered();
             if is_last && self.is_better_in_time() {
                 self.models.choose_best();
             }
@@ -294,7 +294,7 @@
         let Some(chosen) = chosen else {
             return false;
         };
-        let better = BetterAnswer {
+        let better = StepUpTiming {
             elapsed: self.state.now().since(self.call.arrived),
             expected_wait: chosen.expected_wait(),
             target: self.call.route.target_latency,
@@ -326,7 +326,7 @@
     fn patience(&self) -> Duration {
         let remaining = self.call.deadline.since(self.state.now());
         let route = &self.call.route;
-        if !route.is_repeatable() || self.progress.is_next_the_last() {
+        if !route.is_repeatable() || self.progress.is_next_last() {
             return remaining;
         }
         let patience = (route.target_latency * PATIENCE_TARGETS).max(MIN_PATIENCE);
--- a/crates/measure/src/upstream.rs
+++ b/crates/measure/src/upstream.rs
@@ -7,12 +7,12 @@
 
 use stallhoist_core::MonoTime;
 use stallhoist_core::prefix_marks;
-use stallhoist_policy::admission::Admission;
 use stallhoist_policy::admission::AdmissionConfig;
-use stallhoist_policy::admission::Next;
-use stallhoist_policy::admission::Offer;
+use stallhoist_policy::admission::AdmissionController;
+use stallhoist_policy::admission::AdmissionDecision;
+use stallhoist_policy::admission::AdmissionRequest;
 use stallhoist_policy::admission::Prediction;
-use stallhoist_policy::admission::Work;
+use stallhoist_policy::admission::QueueDecision;
 
 use super::EngineTimes;
 use super::FakeRequest;
@@ -47,7 +47,7 @@
     /// How long the engine takes.
     pub times: EngineTimes,
     /// The controller.
-    pub admission: Admission<usize>,
+    pub admission: AdmissionController<usize>,
     /// While set, the upstream neither answers nor works.
     pub is_frozen: bool,
     active: Vec<Active>,
@@ -74,7 +74,7 @@
     pub fn new(times: EngineTimes, config: AdmissionConfig) -> Self {
         Self {
             times,
-            admission: Admission::new(config),
+            admission: AdmissionController::new(config),
             is_frozen: false,
             active: Vec::new(),
             joining: Vec::new(),
@@ -139,15 +139,15 @@
         id: usize,
         request: &FakeRequest,
         deadline: MonoTime,
-    ) -> Offer {
+    ) -> AdmissionDecision {
         let work = self.work(now, id, request, deadline);
         let offer = self.admission.offer(now, work);
         match offer {
-            Offer::Start => self.start(now, id, request),
-            Offer::Queued => {
+            AdmissionDecision::Start => self.start(now, id, request),
+            AdmissionDecision::Queued => {
                 self.waiting.insert(id, request.clone());
             }
-            Offer::Refused { .. } => {}
+            AdmissionDecision::Refused { .. } => {}
         }
         offer
     }
@@ -213,12 +213,12 @@
     pub fn pump(&mut self, now: MonoTime, end: &mut StepEnd) {
         for next in self.admission.next(now) {
             match next {
-                Next::Start(id) => {
+                QueueDecision::Start(id) => {
                     if let Some(request) = self.waiting.remove(&id) {
                         self.start(now, id, &request);
                     }
                 }
-                Next::Refused { id, retry_after } => {
+                QueueDecision::Refused { id, retry_after } => {
                     self.waiting.remove(&id);
                     end.refused.push((id, retry_after));
                 }
@@ -274,7 +274,7 @@
         id: usize,
         request: &FakeRequest,
         deadline: MonoTime,
-    ) -> Work<usize> {
+    ) -> AdmissionRequest<usize> {
         while self.events.front().is_some_and(|(due, _)| *due <= now) {
             match self.events.pop_front() {
                 Some((_, Some((true, block)))) => {
@@ -291,7 +291,7 @@
         let marks = prefix_marks(request.blocks.len());
         let is_known = |blocks: &usize| self.known.contains(&request.blocks[blocks - 1]);
         let known = marks.into_iter().take_while(is_known).last().unwrap_or_default() as u64;
-        Work {
+        AdmissionRequest {
             id,
             key: id as u64,
             arrived: now,
--- a/crates/policy/src/retry/mod.rs
+++ b/crates/policy/src/retry/mod.rs
@@ -1,4 +1,5 @@
-//! Retries: whether, how many, and where not to.
+//! Retries: whether a request is retried, the retry budget, and the ejection of failing
+//! upstreams.
 
 mod budget;
 mod decision;
@@ -6,7 +7,7 @@
 mod progress;
 
 pub use budget::RetryBudget;
-pub use decision::AttemptFacts;
+pub use decision::AttemptOutcome;
 pub use decision::may_retry;
 pub use ejection::Ejection;
 pub use ejection::EjectionConfig;
--- a/crates/policy/src/version/mod.rs
+++ b/crates/policy/src/version/mod.rs
@@ -1,7 +1,7 @@
-//! Version choice: which version of a model answers a new request.
+//! Version choice: which version of a model runs a new request.
 
 mod split;
 
-pub use split::VersionFacts;
+pub use split::VersionCandidate;
 pub use split::VersionRefusal;
 pub use split::split;
--- a/crates/sidecar/src/attempts.rs
+++ b/crates/sidecar/src/attempts.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use stallhoist_coordination::AttemptFate;
-use stallhoist_coordination::Registered;
+use stallhoist_coordination::RegisterOutcome;
 use stallhoist_core::AttemptId;
 use stallhoist_core::NotRunReason;
-use stallhoist_policy::admission::Next;
-use stallhoist_policy::admission::Offer;
-use stallhoist_policy::admission::Work;
+use stallhoist_policy::admission::AdmissionDecision;
+use stallhoist_policy::admission::AdmissionRequest;
+use stallhoist_policy::admission::QueueDecision;
 use stallhoist_wire::FrameSender;
 use stallhoist_wire::WireError;
 use stallhoist_wire::attempt_from_wire;
@@ -43,7 +43,7 @@
     let admission = shared.admission.lock();
     let prediction = admission.predict(
         now,
-        Work {
+        AdmissionRequest {
             id: placeholder_id(),
             key: probe.work_key,
             arrived: now,
@@ -86,16 +86,16 @@
     let workspace = dispatch.workspace.parse().map_err(|_| WireError::BadField("workspace"))?;
     let target = dispatch.target.parse().map_err(|_| WireError::BadField("target"))?;
     match shared.registry.lock().register(now, id) {
-        Registered::New => {}
+        RegisterOutcome::New => {}
         // It is held already, and its answer is on its way.
-        Registered::Seen => return Ok(()),
-        Registered::Barred => {
+        RegisterOutcome::Seen => return Ok(()),
+        RegisterOutcome::Barred => {
             refuse_unregistered(from, id, NotRunReason::Barred);
             return Ok(());
         }
     }
     if dispatch.revision > shared.table.revision().0 {
-        shared.table.compare(from, stallhoist_core::Revision(dispatch.revision));
+        shared.table.sync_with_peer(from, stallhoist_core::Revision(dispatch.revision));
     }
     let deadline = now.after(Duration::from_millis(dispatch.deadline_ms));
     let uncached_tokens = uncached_tokens(shared, dispatch.prompt_tokens, dispatch.prefix.as_ref());
@@ -119,7 +119,7 @@
         return refuse(shared, answer, reason, RETRY_AFTER_CHANGE);
     }
     let now = shared.now();
-    let work = Work {
+    let work = AdmissionRequest {
         id: answer.id,
         key: answer.dispatch.work_key,
         arrived: now,
@@ -129,9 +129,11 @@
     };
     let offered = shared.admission.lock().offer(now, work);
     match offered {
-        Offer::Start => start(shared, answer),
-        Offer::Queued => shared.admission_changed.notify_one(),
-        Offer::Refused { reason, retry_after } => refuse(shared, answer, reason, retry_after),
+        AdmissionDecision::Start => start(shared, answer),
+        AdmissionDecision::Queued => shared.admission_changed.notify_one(),
+        AdmissionDecision::Refused { reason, retry_after } => {
+            refuse(shared, answer, reason, retry_after)
+        }
     }
 }
 
@@ -159,7 +161,7 @@
     let decisions = shared.admission.lock().next(shared.now());
     for decision in decisions {
         match decision {
-            Next::Start(id) => {
+            QueueDecision::Start(id) => {
                 let Some(answer) = shared.answers.lock().get(&id).cloned() else {
                     shared.admission.lock().abandoned(&id);
                     continue;
@@ -172,7 +174,7 @@
                     }
                 }
             }
-            Next::Refused { id, retry_after } => {
+            QueueDecision::Refused { id, retry_after } => {
                 let answer = shared.answers.lock().get(&id).cloned();
                 if let Some(answer) = answer {
                     refuse(shared, &answer, NotRunReason::Overloaded, retry_after);
--- a/crates/sidecar/src/shared.rs
+++ b/crates/sidecar/src/shared.rs
@@ -7,15 +7,15 @@
 use std::time::Duration;
 
 use parking_lot::Mutex;
+use stallhoist_coordination::ActiveTable;
 use stallhoist_coordination::AttemptRegistry;
-use stallhoist_coordination::HeldBills;
 use stallhoist_coordination::ProcessClock;
-use stallhoist_coordination::TableHolder;
+use stallhoist_coordination::UnsettledBills;
 use stallhoist_core::AttemptId;
 use stallhoist_core::IncarnationId;
 use stallhoist_core::MonoTime;
-use stallhoist_policy::admission::Admission;
 use stallhoist_policy::admission::AdmissionConfig;
+use stallhoist_policy::admission::AdmissionController;
 use stallhoist_settings::SidecarSettings;
 use stallhoist_settings::UpstreamKind;
 use stallhoist_wire::FleetKey;
@@ -41,11 +41,11 @@
     pub(crate) fleet_key: FleetKey,
     pub(crate) clock: ProcessClock,
     pub(crate) http: reqwest::Client,
-    pub(crate) table: TableHolder,
+    pub(crate) table: ActiveTable,
     pub(crate) answers: Mutex<HashMap<AttemptId, Arc<Answer>>>,
     pub(crate) registry: Mutex<AttemptRegistry<AttemptId>>,
-    pub(crate) admission: Mutex<Admission<AttemptId>>,
-    pub(crate) bills: Mutex<HeldBills>,
+    pub(crate) admission: Mutex<AdmissionController<AttemptId>>,
+    pub(crate) bills: Mutex<UnsettledBills>,
     pub(crate) peers: Mutex<Peers>,
     pub(crate) cache_view: Mutex<CacheView>,
     pub(crate) evidence: Mutex<EvidenceBook>,
@@ -75,10 +75,10 @@
             identity,
             clock: ProcessClock::start(),
             http,
-            table: TableHolder::default(),
+            table: ActiveTable::default(),
             answers: Mutex::default(),
             registry: Mutex::new(AttemptRegistry::new(REMEMBER_ATTEMPTS)),
-            admission: Mutex::new(Admission::new(admission_config(&settings))),
+            admission: Mutex::new(AdmissionController::new(admission_config(&settings))),
             bills: Mutex::default(),
             peers: Mutex::default(),
             cache_view: Mutex::default(),
