--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -7,12 +7,12 @@
 use super::EvidenceStanding;
 use super::EvidenceTest;
 use super::EvidenceTotals;
+use super::LatencyBaseline;
 use super::LatencyKind;
 use super::MeanLoad;
 use super::Observation;
 use super::RequestKind;
 use super::TimedCounts;
-use super::UsualTime;
 use super::VersionCounts;
 use super::comparison::Comparison;
 
@@ -33,7 +33,7 @@
 /// part of a short prompt in time, and twice as many good observations would hide the bad ones.
 #[derive(Debug, Default)]
 pub struct RolloutEvidence {
-    usual: HashMap<RequestKind, UsualTime>,
+    usual: HashMap<RequestKind, LatencyBaseline>,
     failures: Comparison,
     first_parts: Comparison,
     paces: Comparison,
--- a/crates/policy/src/rollout/usual_time.rs
+++ b/crates/policy/src/rollout/latency_baseline.rs
@@ -83,11 +83,11 @@
 /// longer than an old one that has lost them. So each load has a usual time of its own, and
 /// what is learnt at one load changes nothing at another.
 #[derive(Debug, Default)]
-pub struct UsualTime {
+pub struct LatencyBaseline {
     levels: BTreeMap<u32, LoadLevel>,
 }
 
-impl UsualTime {
+impl LatencyBaseline {
     /// An answer took so long at a load.
     pub fn observe(&mut self, load: u32, time: Duration) {
         let level = self.levels.entry(level_of(load)).or_default();
--- a/crates/policy/src/rollout/mod.rs
+++ b/crates/policy/src/rollout/mod.rs
@@ -8,17 +8,19 @@
 mod comparison;
 mod counts;
 mod evidence;
+mod latency_baseline;
 mod observation;
 mod plan;
 mod record;
 mod standing;
 mod stream_pace;
-mod usual_time;
 
 pub use counts::EvidenceTotals;
 pub use counts::TimedCounts;
 pub use counts::VersionCounts;
 pub use evidence::RolloutEvidence;
+pub use latency_baseline::BaselineLatency;
+pub use latency_baseline::LatencyBaseline;
 pub use observation::LatencyKind;
 pub use observation::Observation;
 pub use observation::RequestKind;
@@ -34,5 +36,3 @@
 pub use standing::MeanLoad;
 pub use stream_pace::Pace;
 pub use stream_pace::StreamPace;
-pub use usual_time::BaselineLatency;
-pub use usual_time::UsualTime;
--- a/tests/all/decisions/rollout_times.rs
+++ b/tests/all/decisions/rollout_times.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use stallhoist_policy::rollout::BaselineLatency;
+use stallhoist_policy::rollout::LatencyBaseline;
 use stallhoist_policy::rollout::LatencyKind;
 use stallhoist_policy::rollout::Observation;
 use stallhoist_policy::rollout::RequestKind;
 use stallhoist_policy::rollout::RolloutEvidence;
 use stallhoist_policy::rollout::StreamPace;
-use stallhoist_policy::rollout::UsualTime;
 
 const PACE: RequestKind = RequestKind { route: None, model: None, part: LatencyKind::Pause };
 
@@ -22,8 +22,8 @@
 }
 
 /// Times that were seen at these loads, ten each.
-fn usual(loads: &[u32]) -> UsualTime {
-    let mut usual = UsualTime::default();
+fn usual(loads: &[u32]) -> LatencyBaseline {
+    let mut usual = LatencyBaseline::default();
     for load in loads.iter().flat_map(|load| std::iter::repeat_n(*load, 10)) {
         usual.observe(load, pause(load));
     }
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_few_answers_at_a_load_are_not_believed() {
-    let mut usual = UsualTime::default();
+    let mut usual = LatencyBaseline::default();
     for _ in 0..4 {
         usual.observe(4, ms(20));
     }
@@ -89,7 +89,7 @@
 
 #[test]
 fn what_cannot_be_is_not_believed() {
-    let mut usual = UsualTime::default();
+    let mut usual = LatencyBaseline::default();
     for (load, usual_ms) in [(f64::NAN, 1.0), (1.0, f64::INFINITY), (-1.0, 5.0), (1e12, 5.0)] {
         usual.apply_peer_update(BaselineLatency { load, usual_ms });
     }
