--- a/crates/gateway/src/peers/evidence.rs
+++ b/crates/gateway/src/peers/evidence.rs
@@ -65,7 +65,7 @@
         }
         let host = state.settings.host.id.to_string();
         let sessions = kept_sessions(&state, SessionScope::All);
-        let is_wanting_times = state.rollouts.lock().wants_times();
+        let is_wanting_times = state.rollouts.lock().needs_baselines();
         let ask = Ask { host, evidence, sessions, is_wanting_times, ..Ask::default() };
         let relays = state.peers.lock().other_relays();
         for (_, addr) in relays {
--- a/crates/gateway/src/peers/relayed_store.rs
+++ b/crates/gateway/src/peers/relayed_store.rs
@@ -326,7 +326,7 @@
         Ask {
             evidence: own_evidence(&self.state),
             sessions: kept_sessions(&self.state, SessionScope::Own),
-            is_wanting_times: self.state.rollouts.lock().wants_times(),
+            is_wanting_times: self.state.rollouts.lock().needs_baselines(),
             ..Ask::default()
         }
     }
--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -216,7 +216,7 @@
     }
 
     /// Whether the old version's usual times are to be asked of another entry.
-    pub(super) fn wants_times(&self) -> bool {
+    pub(super) fn needs_baselines(&self) -> bool {
         self.is_running() && !self.has_told_times
     }
 
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -167,8 +167,8 @@
     /// Whether the old version's usual times are to be asked of another entry: one that starts
     /// during a roll-out, in a burst perhaps, has not seen an upstream that is as idle as the
     /// new version's.
-    pub fn wants_times(&self) -> bool {
-        self.services.values().any(ServiceRollout::wants_times)
+    pub fn needs_baselines(&self) -> bool {
+        self.services.values().any(ServiceRollout::needs_baselines)
     }
 
     /// The old versions' usual times, as far as roll-outs are under way.
