--- a/crates/gateway/src/peers/evidence.rs
+++ b/crates/gateway/src/peers/evidence.rs
@@ -24,7 +24,7 @@
 
 /// What this entry has counted of roll-outs that are under way.
 pub(super) fn own_evidence(state: &GatewayState) -> Vec<Evidence> {
-    let own = state.rollouts.lock().own_evidence();
+    let own = state.rollouts.lock().local_evidence();
     own.iter().map(|(service, order, totals)| Evidence::of(service, *order, *totals)).collect()
 }
 
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -120,7 +120,7 @@
 
     /// What this entry has counted of the roll-outs that are under way: the service, the
     /// version of the order's row and the counts.
-    pub fn own_evidence(&self) -> Vec<(ServiceName, StoreVersion, EvidenceTotals)> {
+    pub fn local_evidence(&self) -> Vec<(ServiceName, StoreVersion, EvidenceTotals)> {
         let running = self.services.values().filter(|rollout| rollout.is_running());
         running
             .filter_map(|rollout| {
--- a/tests/all/decisions/rollout_rules.rs
+++ b/tests/all/decisions/rollout_rules.rs
@@ -252,7 +252,7 @@
     tell(&mut rollouts, "entry-1", 10, told(3, 1));
     let kind = RequestKind { route: None, model: None, part: LatencyKind::First };
     rollouts.observe(&service(), &version("v2"), &kind, 4, Observation::Failed);
-    let own = rollouts.own_evidence();
+    let own = rollouts.local_evidence();
     assert_eq!(own.len(), 1);
     let totals = own[0].2;
     assert_eq!((totals.new.answers, totals.new.failures, totals.old.answers), (1, 1, 0));
