--- a/crates/gateway/src/peers/server.rs
+++ b/crates/gateway/src/peers/server.rs
@@ -233,5 +233,5 @@
         return;
     };
     let order = StoreVersion::of(evidence.order_version);
-    state.rollouts.lock().peer_evidence(host, &service, order, evidence.totals());
+    state.rollouts.lock().apply_peer_evidence(host, &service, order, evidence.totals());
 }
--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -200,7 +200,7 @@
     }
 
     /// Another entry tells what it has counted in all so far, since an order.
-    pub(super) fn peer_evidence(
+    pub(super) fn apply_peer_evidence(
         &mut self,
         host: HostId,
         service: &ServiceName,
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -152,7 +152,7 @@
     }
 
     /// Another entry tells what it has counted in all so far, since an order.
-    pub fn peer_evidence(
+    pub fn apply_peer_evidence(
         &mut self,
         host: HostId,
         service: &ServiceName,
@@ -160,7 +160,7 @@
         totals: EvidenceTotals,
     ) {
         if let Some(rollout) = self.services.get_mut(service) {
-            rollout.peer_evidence(host, service, order_version, totals);
+            rollout.apply_peer_evidence(host, service, order_version, totals);
         }
     }
 
--- a/tests/all/decisions/rollout_rules.rs
+++ b/tests/all/decisions/rollout_rules.rs
@@ -206,7 +206,7 @@
 
 fn tell(rollouts: &mut Rollouts, entry: &str, order_version: u64, totals: EvidenceTotals) {
     let host = entry.parse().expect("a name");
-    rollouts.peer_evidence(host, &service(), StoreVersion::of(order_version), totals);
+    rollouts.apply_peer_evidence(host, &service(), StoreVersion::of(order_version), totals);
 }
 
 // In a large fleet no entry alone sees enough of the new version.
