--- a/crates/gateway/src/peers/verdicts.rs
+++ b/crates/gateway/src/peers/verdicts.rs
@@ -9,7 +9,7 @@
 
 /// What this entry knows.
 pub(super) fn own_verdicts(state: &GatewayState) -> Vec<VerdictNews> {
-    let verdicts = state.rollouts.lock().verdicts();
+    let verdicts = state.rollouts.lock().decisions();
     let message = |verdict: &RolloutDecision| VerdictNews {
         service: verdict.service.to_string(),
         order_version: verdict.order_version.number,
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -185,7 +185,7 @@
 
     /// What this entry knows of the ends of roll-outs: versions found bad, by its own evidence
     /// or by others, that are not recorded yet, and orders that are completed.
-    pub fn verdicts(&self) -> Vec<RolloutDecision> {
+    pub fn decisions(&self) -> Vec<RolloutDecision> {
         self.services.values().filter_map(ServiceRollout::verdict).collect()
     }
 
--- a/tests/all/decisions/rollout_rules.rs
+++ b/tests/all/decisions/rollout_rules.rs
@@ -272,7 +272,7 @@
     let due = rollouts.due(at_ms(30_000));
     assert_eq!(due.len(), 1);
     assert_eq!(due[0].record.phase, RolloutPhase::RolledBack, "and is not completed");
-    assert_eq!(rollouts.verdicts(), [verdict(10, Ending::Bad)], "it is passed on");
+    assert_eq!(rollouts.decisions(), [verdict(10, Ending::Bad)], "it is passed on");
 }
 
 #[test]
@@ -283,16 +283,16 @@
     assert_eq!(rule(&rollouts, 0.01, None).wanted, new());
     rollouts.apply_peer_update(&verdict(10, Ending::Bad));
     rollouts.ordered(order(12));
-    assert_eq!(rollouts.verdicts(), [], "a new order begins without a verdict");
+    assert_eq!(rollouts.decisions(), [], "a new order begins without a verdict");
 }
 
 #[test]
 fn a_verdict_is_told_until_it_is_stored() {
     let mut rollouts = rollouts(RolloutPhase::Canary);
     rollouts.apply_peer_update(&verdict(10, Ending::Bad));
-    assert_eq!(rollouts.verdicts().len(), 1);
+    assert_eq!(rollouts.decisions().len(), 1);
     rollouts.stored(stored(RolloutPhase::RolledBack, 12));
-    assert_eq!(rollouts.verdicts(), []);
+    assert_eq!(rollouts.decisions(), []);
 }
 
 // An entry that did not reach the store called the version bad after others had completed the
@@ -302,7 +302,7 @@
     let mut rollouts = rollouts(RolloutPhase::Completed);
     rollouts.apply_peer_update(&verdict(10, Ending::Bad));
     assert_eq!(rule(&rollouts, 0.99, None).wanted, new());
-    assert_eq!(rollouts.verdicts(), [verdict(10, Ending::Completed)]);
+    assert_eq!(rollouts.decisions(), [verdict(10, Ending::Completed)]);
 }
 
 #[test]
@@ -336,5 +336,5 @@
     };
     rollouts.stored(record);
     answers(&mut rollouts, "v3", 100);
-    assert!(rollouts.verdicts().iter().any(|verdict| verdict.ending == Ending::Bad));
+    assert!(rollouts.decisions().iter().any(|verdict| verdict.ending == Ending::Bad));
 }
