--- a/crates/gateway/src/peers/verdicts.rs
+++ b/crates/gateway/src/peers/verdicts.rs
@@ -3,8 +3,8 @@
 use stallhoist_core::StoreVersion;
 
 use super::messages::VerdictNews;
-use crate::rollouts::Ending;
 use crate::rollouts::RolloutDecision;
+use crate::rollouts::RolloutOutcome;
 use crate::state::GatewayState;
 
 /// What this entry knows.
@@ -13,7 +13,7 @@
     let message = |verdict: &RolloutDecision| VerdictNews {
         service: verdict.service.to_string(),
         order_version: verdict.order_version.number,
-        is_completed: verdict.ending == Ending::Completed,
+        is_completed: verdict.outcome == RolloutOutcome::Completed,
     };
     verdicts.iter().map(message).collect()
 }
@@ -24,11 +24,12 @@
         match news.service.parse() {
             Ok(service) => {
                 let order_version = StoreVersion::of(news.order_version);
-                let ending = if news.is_completed { Ending::Completed } else { Ending::Bad };
+                let outcome =
+                    if news.is_completed { RolloutOutcome::Completed } else { RolloutOutcome::Bad };
                 state.rollouts.lock().apply_peer_update(&RolloutDecision {
                     service,
                     order_version,
-                    ending,
+                    outcome,
                 });
             }
             Err(error) => {
--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -21,8 +21,8 @@
 
 use super::BaselineUpdate;
 use super::ControlRule;
-use super::Ending;
 use super::RolloutDecision;
+use super::RolloutOutcome;
 use super::VersionRule;
 use super::order_and_record::OrderAndRecord;
 use crate::control_store::RolloutChange;
@@ -245,15 +245,15 @@
     /// What is known of the end of the roll-out.
     pub(super) fn verdict(&self) -> Option<RolloutDecision> {
         let order = self.known.order()?;
-        let ending = if self.is_completed() {
-            Ending::Completed
+        let outcome = if self.is_completed() {
+            RolloutOutcome::Completed
         } else if self.is_found_bad && self.is_running() {
-            Ending::Bad
+            RolloutOutcome::Bad
         } else {
             return None;
         };
         let (service, order_version) = (order.service.clone(), order.row_version);
-        Some(RolloutDecision { service, order_version, ending })
+        Some(RolloutDecision { service, order_version, outcome })
     }
 
     /// Another entry knows how the roll-out ends.
@@ -261,16 +261,16 @@
         if !self.is_of_order(verdict.order_version) {
             return;
         }
-        match verdict.ending {
-            Ending::Completed if !self.is_completed() => {
+        match verdict.outcome {
+            RolloutOutcome::Completed if !self.is_completed() => {
                 self.is_told_completed = true;
                 log::info!(service:% = verdict.service; "another entry has read that it is completed");
             }
-            Ending::Bad if self.is_running() && !self.is_found_bad => {
+            RolloutOutcome::Bad if self.is_running() && !self.is_found_bad => {
                 self.is_found_bad = true;
                 log::warn!(service:% = verdict.service; "another entry has found the new version bad");
             }
-            Ending::Bad | Ending::Completed => {}
+            RolloutOutcome::Bad | RolloutOutcome::Completed => {}
         }
     }
 
--- a/crates/gateway/src/rollouts/verdict.rs
+++ b/crates/gateway/src/rollouts/verdict.rs
@@ -5,7 +5,7 @@
 
 /// How a roll-out ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum RolloutOutcome {
     /// The new version was found bad; this may not be recorded yet.
     Bad,
     /// It is recorded as completed: the old version is being stopped.
@@ -20,5 +20,5 @@
     /// The version of the order's row: a verdict on another order is of no use.
     pub order_version: StoreVersion,
     /// How it ends.
-    pub ending: Ending,
+    pub outcome: RolloutOutcome,
 }
--- a/tests/all/decisions/rollout_rules.rs
+++ b/tests/all/decisions/rollout_rules.rs
@@ -7,8 +7,8 @@
 use stallhoist_core::VersionName;
 use stallhoist_gateway::control_store::RolloutOrder;
 use stallhoist_gateway::control_store::StoredRollout;
-use stallhoist_gateway::rollouts::Ending;
 use stallhoist_gateway::rollouts::RolloutDecision;
+use stallhoist_gateway::rollouts::RolloutOutcome;
 use stallhoist_gateway::rollouts::Rollouts;
 use stallhoist_gateway::rollouts::VersionFilter;
 use stallhoist_gateway::rollouts::VersionRule;
@@ -258,8 +258,8 @@
     assert_eq!((totals.new.answers, totals.new.failures, totals.old.answers), (1, 1, 0));
 }
 
-fn verdict(order_version: u64, ending: Ending) -> RolloutDecision {
-    RolloutDecision { service: service(), order_version: StoreVersion::of(order_version), ending }
+fn verdict(order_version: u64, outcome: RolloutOutcome) -> RolloutDecision {
+    RolloutDecision { service: service(), order_version: StoreVersion::of(order_version), outcome }
 }
 
 // Three entries had found a version bad while the store was away; one that had started since
@@ -267,21 +267,21 @@
 #[test]
 fn a_verdict_of_another_entry_counts_at_one_that_has_seen_nothing() {
     let mut rollouts = rollouts(SHIFTING);
-    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
+    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
     assert_eq!(rule(&rollouts, 0.01, None).wanted, old());
     let due = rollouts.due(at_ms(30_000));
     assert_eq!(due.len(), 1);
     assert_eq!(due[0].record.phase, RolloutPhase::RolledBack, "and is not completed");
-    assert_eq!(rollouts.decisions(), [verdict(10, Ending::Bad)], "it is passed on");
+    assert_eq!(rollouts.decisions(), [verdict(10, RolloutOutcome::Bad)], "it is passed on");
 }
 
 #[test]
 fn a_verdict_on_another_order_does_not_count() {
     let mut rollouts = rollouts(SHIFTING);
-    rollouts.apply_peer_update(&verdict(9, Ending::Bad));
-    rollouts.apply_peer_update(&verdict(9, Ending::Completed));
+    rollouts.apply_peer_update(&verdict(9, RolloutOutcome::Bad));
+    rollouts.apply_peer_update(&verdict(9, RolloutOutcome::Completed));
     assert_eq!(rule(&rollouts, 0.01, None).wanted, new());
-    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
+    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
     rollouts.ordered(order(12));
     assert_eq!(rollouts.decisions(), [], "a new order begins without a verdict");
 }
@@ -289,7 +289,7 @@
 #[test]
 fn a_verdict_is_told_until_it_is_stored() {
     let mut rollouts = rollouts(RolloutPhase::Canary);
-    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
+    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
     assert_eq!(rollouts.decisions().len(), 1);
     rollouts.stored(stored(RolloutPhase::RolledBack, 12));
     assert_eq!(rollouts.decisions(), []);
@@ -300,16 +300,16 @@
 #[test]
 fn a_version_that_is_completed_cannot_be_found_bad() {
     let mut rollouts = rollouts(RolloutPhase::Completed);
-    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
+    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
     assert_eq!(rule(&rollouts, 0.99, None).wanted, new());
-    assert_eq!(rollouts.decisions(), [verdict(10, Ending::Completed)]);
+    assert_eq!(rollouts.decisions(), [verdict(10, RolloutOutcome::Completed)]);
 }
 
 #[test]
 fn an_entry_that_does_not_reach_the_store_is_told_of_the_completion() {
     let mut rollouts = rollouts(SHIFTING);
-    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
-    rollouts.apply_peer_update(&verdict(10, Ending::Completed));
+    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
+    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Completed));
     let rule = rule(&rollouts, 0.99, None);
     assert_eq!((rule.wanted, rule.otherwise), (new(), Some(VersionFilter::Any)));
     assert!(rollouts.due(at_ms(30_000)).is_empty(), "there is nothing left to store");
@@ -336,5 +336,5 @@
     };
     rollouts.stored(record);
     answers(&mut rollouts, "v3", 100);
-    assert!(rollouts.decisions().iter().any(|verdict| verdict.ending == Ending::Bad));
+    assert!(rollouts.decisions().iter().any(|verdict| verdict.outcome == RolloutOutcome::Bad));
 }
--- a/tests/all/decisions/store_return_model.rs
+++ b/tests/all/decisions/store_return_model.rs
@@ -21,8 +21,8 @@
 use stallhoist_core::VersionName;
 use stallhoist_gateway::control_store::RolloutOrder;
 use stallhoist_gateway::control_store::StoredRollout;
-use stallhoist_gateway::rollouts::Ending;
 use stallhoist_gateway::rollouts::RolloutDecision;
+use stallhoist_gateway::rollouts::RolloutOutcome;
 use stallhoist_gateway::rollouts::Rollouts;
 use stallhoist_gateway::rollouts::VersionFilter;
 use stallhoist_policy::rollout::RolloutConfig;
@@ -241,7 +241,8 @@
             return;
         };
         let order_version = self.version(number);
-        let verdict = RolloutDecision { service: service(), order_version, ending: Ending::Bad };
+        let verdict =
+            RolloutDecision { service: service(), order_version, outcome: RolloutOutcome::Bad };
         self.entries[entry].apply_peer_update(&verdict);
     }
 
