--- a/crates/gateway/src/fatal/book.rs
+++ b/crates/gateway/src/fatal/book.rs
@@ -198,12 +198,12 @@
 
 /// A request that is tried again. The try ends when this is dropped.
 #[derive(Debug)]
-pub(crate) struct Try {
+pub(crate) struct Trial {
     state: Arc<GatewayState>,
     request: RequestFingerprint,
 }
 
-impl Try {
+impl Trial {
     /// Begins to try a request again, if the store agrees.
     pub(crate) async fn begin(
         state: &Arc<GatewayState>,
@@ -218,7 +218,7 @@
     }
 }
 
-impl Drop for Try {
+impl Drop for Trial {
     fn drop(&mut self) {
         let now = self.state.now();
         self.state.fatal.change(|requests| requests.end_trial(now, self.request));
--- a/crates/gateway/src/fatal/mod.rs
+++ b/crates/gateway/src/fatal/mod.rs
@@ -7,5 +7,5 @@
 mod keeper;
 
 pub(crate) use book::FatalBook;
-pub(crate) use book::Try;
+pub(crate) use book::Trial;
 pub(crate) use keeper::keep;
--- a/crates/gateway/src/request/execution/held_back.rs
+++ b/crates/gateway/src/request/execution/held_back.rs
@@ -6,7 +6,7 @@
 use stallhoist_policy::fatal::Disposition;
 
 use super::Execution;
-use crate::fatal::Try;
+use crate::fatal::Trial;
 use crate::request::GiveUp;
 
 /// When the caller of a request that is held back for good is told to come back: not soon, since
@@ -41,7 +41,7 @@
                 if self.progress.attempts() > 0 {
                     return Err(self.hold_back(None));
                 }
-                self.trying = Try::begin(&self.state, request).await;
+                self.trying = Trial::begin(&self.state, request).await;
                 if self.trying.is_none() {
                     return Err(self.hold_back(None));
                 }
--- a/crates/gateway/src/request/execution/mod.rs
+++ b/crates/gateway/src/request/execution/mod.rs
@@ -16,7 +16,7 @@
 use stallhoist_policy::retry::RequestProgress;
 use stallhoist_policy::retry::RequestRules;
 
-use crate::fatal::Try;
+use crate::fatal::Trial;
 use crate::metrics::AttemptResult;
 use crate::request::Call;
 use crate::request::GiveUp;
@@ -62,7 +62,7 @@
     /// While it may be what ends upstreams: by which one it is sent to.
     apart_seed: Option<u64>,
     /// It was held back, and is tried again: once.
-    trying: Option<Try>,
+    trying: Option<Trial>,
 }
 
 impl Execution {
