--- a/crates/gateway/src/fatal/keeper.rs
+++ b/crates/gateway/src/fatal/keeper.rs
@@ -11,7 +11,7 @@
 use stallhoist_policy::fatal::FatalChange;
 use tokio::sync::mpsc;
 
-use super::book::Claim;
+use super::tracker::Claim;
 use crate::control_store::ControlStore;
 use crate::control_store::ControlStoreError;
 use crate::peers::follows_store;
--- a/crates/gateway/src/fatal/book.rs
+++ b/crates/gateway/src/fatal/tracker.rs
@@ -36,7 +36,7 @@
 
 /// What the tasks of a gateway share of requests under which upstreams have ended.
 #[derive(Debug)]
-pub(crate) struct FatalBook {
+pub(crate) struct FatalRequestTracker {
     requests: Mutex<FatalRequests>,
     /// Whether anything is known: without, requests need no fingerprint.
     is_used: AtomicBool,
@@ -50,7 +50,7 @@
     claimed: Mutex<Option<mpsc::Receiver<Claim>>>,
 }
 
-impl Default for FatalBook {
+impl Default for FatalRequestTracker {
     fn default() -> Self {
         let (claims, claimed) = mpsc::channel(MAX_CLAIMS);
         Self {
@@ -65,7 +65,7 @@
     }
 }
 
-impl FatalBook {
+impl FatalRequestTracker {
     /// Whether anything is known of any request.
     pub(crate) fn is_used(&self) -> bool {
         self.is_used.load(Ordering::Relaxed)
@@ -209,11 +209,11 @@
         state: &Arc<GatewayState>,
         request: RequestFingerprint,
     ) -> Option<Self> {
-        let book = &state.fatal;
-        let change = book.change(|requests| requests.begin_trial(state.now(), request))?;
+        let tracker = &state.fatal;
+        let change = tracker.change(|requests| requests.begin_trial(state.now(), request))?;
         let begun = Self { state: Arc::clone(state), request };
         let (answer, answered) = oneshot::channel();
-        book.claims.try_send(Claim { request, change, answer }).ok()?;
+        tracker.claims.try_send(Claim { request, change, answer }).ok()?;
         answered.await.unwrap_or(false).then_some(begun)
     }
 }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -27,7 +27,7 @@
 use crate::control_store::ListedEntry;
 use crate::decision_log::DecisionLog;
 use crate::dialect::Dialect;
-use crate::fatal::FatalBook;
+use crate::fatal::FatalRequestTracker;
 use crate::metrics::Metrics;
 use crate::peers::FeedCopies;
 use crate::peers::PeerList;
@@ -54,7 +54,7 @@
     pub(crate) sessions: Mutex<Sessions>,
     pub(crate) retries: Mutex<RetryBudgets>,
     /// Requests under which upstreams have ended.
-    pub(crate) fatal: FatalBook,
+    pub(crate) fatal: FatalRequestTracker,
     pub(crate) step_up: StepUpConfig,
     /// Other entries of the system.
     pub(crate) peers: Mutex<PeerList>,
@@ -97,7 +97,7 @@
             ))),
             sessions: Mutex::new(Sessions::new(session_lifetime)),
             retries: Mutex::new(RetryBudgets::new(budget)),
-            fatal: FatalBook::default(),
+            fatal: FatalRequestTracker::default(),
             step_up: StepUpConfig { below_confidence },
             peers: Mutex::new(PeerList::new(settings.host.id.clone(), settings.host.zone.clone())),
             news_from: Mutex::default(),
