--- a/crates/gateway/src/fatal/tracker.rs
+++ b/crates/gateway/src/fatal/tracker.rs
@@ -42,7 +42,7 @@
     is_used: AtomicBool,
     has_open_breaks: AtomicBool,
     /// Something is known that other entries should know at once.
-    has_news: Notify,
+    updates_available: Notify,
     /// For the lines on ends that cannot be read, which others can cause at will.
     unreadable: Mutex<LogLimit>,
     claims: mpsc::Sender<Claim>,
@@ -57,7 +57,7 @@
             requests: Mutex::new(FatalRequests::new(FatalConfig::default())),
             is_used: AtomicBool::new(false),
             has_open_breaks: AtomicBool::new(false),
-            has_news: Notify::new(),
+            updates_available: Notify::new(),
             unreadable: Mutex::default(),
             claims,
             claimed: Mutex::new(Some(claimed)),
@@ -95,7 +95,7 @@
 
     /// An end under a request was not known before.
     fn note_new(&self, now: MonoTime, request: RequestFingerprint, start: &UpstreamIncarnation) {
-        self.has_news.notify_one();
+        self.updates_available.notify_one();
         if matches!(self.verdict(now, request), Disposition::HeldBack { .. }) {
             log::warn!(fingerprint:% = request, instance:% = start; "request held back: it ends upstreams");
         }
@@ -127,7 +127,7 @@
     /// A request was answered whole.
     pub(crate) fn answered(&self, now: MonoTime, request: RequestFingerprint) {
         if self.change(|requests| requests.answered(now, request)) {
-            self.has_news.notify_one();
+            self.updates_available.notify_one();
             log::info!(fingerprint:% = request; "request cleared: it was answered whole");
         }
     }
@@ -136,7 +136,7 @@
     pub(crate) fn apply_peer_update(&self, now: MonoTime, news: impl Iterator<Item = CrashUpdate>) {
         let new = self.change(|requests| requests.apply_peer_update(now, news));
         if new > 0 {
-            self.has_news.notify_one();
+            self.updates_available.notify_one();
         }
     }
 
@@ -159,8 +159,8 @@
     }
 
     /// Waits until there is news for other entries.
-    pub(crate) fn has_news(&self) -> Notified<'_> {
-        self.has_news.notified()
+    pub(crate) fn updates_available(&self) -> Notified<'_> {
+        self.updates_available.notified()
     }
 
     /// What other entries should know.
--- a/crates/gateway/src/peers/work_news.rs
+++ b/crates/gateway/src/peers/work_news.rs
@@ -65,7 +65,7 @@
     let urgent = async {
         tokio::select! {
             () = state.upstreams.found_over() => {}
-            () = state.fatal.has_news() => {}
+            () = state.fatal.updates_available() => {}
         }
         tokio::time::sleep(URGENT_AFTER).await;
     };
