--- a/crates/gateway/src/fatal/keeper.rs
+++ b/crates/gateway/src/fatal/keeper.rs
@@ -38,7 +38,7 @@
     let mut pause = CHECK_EVERY;
     loop {
         answer_claims(store.as_ref(), &mut claims, pause).await;
-        if !state.fatal.is_used() && !state.fatal.has_open_breaks() {
+        if !state.fatal.is_used() && !state.fatal.has_unexplained_broken_streams() {
             continue;
         }
         let settled = if follows_store(&state) { SETTLED_AFTER } else { LEFT_TO_OTHERS };
--- a/crates/gateway/src/fatal/tracker.rs
+++ b/crates/gateway/src/fatal/tracker.rs
@@ -40,7 +40,7 @@
     requests: Mutex<FatalRequests>,
     /// Whether anything is known: without, requests need no fingerprint.
     is_used: AtomicBool,
-    has_open_breaks: AtomicBool,
+    has_unexplained_broken_streams: AtomicBool,
     /// Something is known that other entries should know at once.
     updates_available: Notify,
     /// For the lines on ends that cannot be read, which others can cause at will.
@@ -56,7 +56,7 @@
         Self {
             requests: Mutex::new(FatalRequests::new(FatalConfig::default())),
             is_used: AtomicBool::new(false),
-            has_open_breaks: AtomicBool::new(false),
+            has_unexplained_broken_streams: AtomicBool::new(false),
             updates_available: Notify::new(),
             unreadable: Mutex::default(),
             claims,
@@ -72,8 +72,8 @@
     }
 
     /// Whether it is still open of any answer that broke off why it did.
-    pub(super) fn has_open_breaks(&self) -> bool {
-        self.has_open_breaks.load(Ordering::Relaxed)
+    pub(super) fn has_unexplained_broken_streams(&self) -> bool {
+        self.has_unexplained_broken_streams.load(Ordering::Relaxed)
     }
 
     /// What may be done with a request now.
@@ -113,7 +113,7 @@
 
     /// It shows that a start of an upstream has ended, which had not said that it leaves.
     pub(crate) fn record_termination(&self, now: MonoTime, start: &UpstreamIncarnation) {
-        if !self.has_open_breaks() {
+        if !self.has_unexplained_broken_streams() {
             return;
         }
         let broken =
@@ -181,7 +181,8 @@
         let mut requests = self.requests.lock();
         let result = change(&mut requests);
         self.is_used.store(!requests.is_empty(), Ordering::Relaxed);
-        self.has_open_breaks.store(requests.has_open_breaks(), Ordering::Relaxed);
+        self.has_unexplained_broken_streams
+            .store(requests.has_unexplained_broken_streams(), Ordering::Relaxed);
         result
     }
 
--- a/crates/policy/src/fatal/mod.rs
+++ b/crates/policy/src/fatal/mod.rs
@@ -84,7 +84,7 @@
     }
 
     /// Whether it is still open of any answer that broke off why it did.
-    pub fn has_open_breaks(&self) -> bool {
+    pub fn has_unexplained_broken_streams(&self) -> bool {
         !self.breaks.is_empty()
     }
 
--- a/tests/all/decisions/fatal.rs
+++ b/tests/all/decisions/fatal.rs
@@ -379,7 +379,7 @@
     let mut requests = FatalRequests::default();
     requests.record_broken_stream(at_ms(0), request(FATAL), UpstreamKey(1));
     requests.expire(at_ms(5_999));
-    assert!(requests.has_open_breaks());
+    assert!(requests.has_unexplained_broken_streams());
     requests.expire(at_ms(6_000));
-    assert!(!requests.has_open_breaks());
+    assert!(!requests.has_unexplained_broken_streams());
 }
