--- a/crates/gateway/src/fatal/mod.rs
+++ b/crates/gateway/src/fatal/mod.rs
@@ -3,9 +3,9 @@
 //! What is decided is in [`stallhoist_policy::fatal`]. Here it meets requests, other entries and the
 //! store: [`FatalRequestTracker`] is what the tasks share, `keeper` is the task that writes to the store.
 
-mod keeper;
+mod store_writer;
 mod tracker;
 
-pub(crate) use keeper::keep;
+pub(crate) use store_writer::store_fatal_requests;
 pub(crate) use tracker::FatalRequestTracker;
 pub(crate) use tracker::Trial;
--- a/crates/gateway/src/fatal/keeper.rs
+++ b/crates/gateway/src/fatal/store_writer.rs
@@ -31,7 +31,7 @@
 const FEED_LAG: Duration = Duration::from_millis(1_000);
 
 /// Writes to the store what it should have, for ever.
-pub(crate) async fn keep<S: ControlStore>(state: Arc<GatewayState>, store: Arc<S>) {
+pub(crate) async fn store_fatal_requests<S: ControlStore>(state: Arc<GatewayState>, store: Arc<S>) {
     let Some(mut claims) = state.fatal.take_claims() else {
         return;
     };
