--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -241,7 +241,7 @@
     tasks.spawn(serve_without_fatal_requests(Arc::clone(state)));
     tasks.spawn(learn_limits(Arc::clone(state)));
     tasks.spawn(fatal::store_fatal_requests(Arc::clone(state), Arc::clone(store)));
-    tasks.spawn(rollouts::drive(Arc::clone(state), Arc::clone(store)));
+    tasks.spawn(rollouts::store_due_steps(Arc::clone(state), Arc::clone(store)));
     tasks.spawn(rollouts::watch(Arc::clone(state)));
     tasks.spawn(tell_relays(Arc::clone(state)));
     tasks.spawn(tell_work(Arc::clone(state)));
--- a/crates/gateway/src/rollouts/driver.rs
+++ b/crates/gateway/src/rollouts/step_writer.rs
@@ -31,7 +31,7 @@
 const LEFT_TO_OTHERS: Duration = Duration::from_millis(700);
 
 /// Stores the next step of each roll-out when it is due, for ever.
-pub(crate) async fn drive<S: ControlStore>(state: Arc<GatewayState>, store: Arc<S>) {
+pub(crate) async fn store_due_steps<S: ControlStore>(state: Arc<GatewayState>, store: Arc<S>) {
     let mut not_before: HashMap<ServiceName, MonoTime> = HashMap::new();
     let mut due_since: HashMap<ServiceName, MonoTime> = HashMap::new();
     loop {
