--- a/crates/gateway/src/rollouts/version_rule.rs
+++ b/crates/gateway/src/rollouts/version_rule.rs
@@ -51,7 +51,7 @@
     /// Those it goes to.
     pub wanted: VersionFilter,
     /// Those it goes to when no upstream of the wanted ones can be used.
-    pub otherwise: Option<VersionFilter>,
+    pub fallback: Option<VersionFilter>,
     /// Whether one upstream of the wanted ones rests.
     pub control: Option<ControlRule>,
 }
@@ -59,29 +59,29 @@
 impl VersionRule {
     /// Any version.
     pub fn any() -> Self {
-        Self { wanted: VersionFilter::Any, otherwise: None, control: None }
+        Self { wanted: VersionFilter::Any, fallback: None, control: None }
     }
 
     /// Any version but this one.
     pub fn except(version: &VersionName) -> Self {
         let wanted = VersionFilter::Except(version.clone());
-        Self { wanted, otherwise: None, control: None }
+        Self { wanted, fallback: None, control: None }
     }
 
     /// Any version but this one, and this one if there is no other.
     pub fn first_except(version: &VersionName) -> Self {
-        Self { otherwise: Some(VersionFilter::Any), ..Self::except(version) }
+        Self { fallback: Some(VersionFilter::Any), ..Self::except(version) }
     }
 
     /// This version, and any if it cannot be used.
     pub fn first_only(version: &VersionName) -> Self {
         let wanted = VersionFilter::Only(version.clone());
-        Self { wanted, otherwise: Some(VersionFilter::Any), control: None }
+        Self { wanted, fallback: Some(VersionFilter::Any), control: None }
     }
 
     /// This version, and the others if it cannot be used.
     pub fn only_or_except(version: &VersionName) -> Self {
         let others = VersionFilter::Except(version.clone());
-        Self { otherwise: Some(others), ..Self::first_only(version) }
+        Self { fallback: Some(others), ..Self::first_only(version) }
     }
 }
--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -66,7 +66,7 @@
     /// The upstream that a request is best sent to; none when there is none to use.
     pub(super) fn best(&self) -> Option<Chosen> {
         let rule = self.placement.rule;
-        let filters = [Some(&rule.wanted), rule.otherwise.as_ref()];
+        let filters = [Some(&rule.wanted), rule.fallback.as_ref()];
         let control = Control::of(self);
         for filter in filters.into_iter().flatten() {
             for (unfittest, with_leaving) in PASSES {
@@ -93,7 +93,7 @@
             return Lack::NoneAllowed;
         }
         let rule = self.placement.rule;
-        let filters = [Some(&rule.wanted), rule.otherwise.as_ref()];
+        let filters = [Some(&rule.wanted), rule.fallback.as_ref()];
         let is_of_version =
             |member: &&Member| filters.into_iter().flatten().any(|f| f.allows(&member.version));
         let members = self.allowed(true).filter(is_of_version);
--- a/tests/all/decisions/rollout_rules.rs
+++ b/tests/all/decisions/rollout_rules.rs
@@ -91,7 +91,7 @@
 
 #[test]
 fn a_rolled_back_version_is_not_used_even_without_another() {
-    assert_eq!(rule(&rollouts(RolloutPhase::RolledBack), 0.5, None).otherwise, None);
+    assert_eq!(rule(&rollouts(RolloutPhase::RolledBack), 0.5, None).fallback, None);
 }
 
 /// Roll-outs of which only busy upstreams of the old version were seen.
@@ -155,7 +155,7 @@
     let mut rollouts = Rollouts::new(RolloutConfig::default());
     rollouts.ordered(order(10));
     let rule = rule(&rollouts, 0.01, None);
-    assert_eq!((rule.wanted, rule.otherwise), (old(), Some(VersionFilter::Any)));
+    assert_eq!((rule.wanted, rule.fallback), (old(), Some(VersionFilter::Any)));
 }
 
 // The same version is ordered again after it was rolled back.
@@ -311,7 +311,7 @@
     rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
     rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Completed));
     let rule = rule(&rollouts, 0.99, None);
-    assert_eq!((rule.wanted, rule.otherwise), (new(), Some(VersionFilter::Any)));
+    assert_eq!((rule.wanted, rule.fallback), (new(), Some(VersionFilter::Any)));
     assert!(rollouts.due(at_ms(30_000)).is_empty(), "there is nothing left to store");
 }
 
