--- a/crates/gateway/src/follow/taking.rs
+++ b/crates/gateway/src/follow/taking.rs
@@ -146,7 +146,7 @@
         let state = &self.state;
         match change {
             Change::Config(config) => state.install_config(config),
-            Change::RolloutOrdered(order) => state.rollouts.lock().ordered(order),
+            Change::RolloutOrdered(order) => state.rollouts.lock().apply_order(order),
             Change::Rollout(stored) => state.rollouts.lock().stored(stored),
             Change::MemberListed(_) | Change::MemberGone(_) | Change::MemberUnreadable(_) => {
                 for start in state.upstreams.apply(state.now(), change) {
--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -122,7 +122,7 @@
 
     /// An operator's order was read. After the store has come back from a copy, the one that is known may
     /// be read again, from another row.
-    pub(super) fn ordered(&mut self, order: RolloutOrder) {
+    pub(super) fn apply_order(&mut self, order: RolloutOrder) {
         let is_completed = self.is_completed();
         if self.known.order_is(order) {
             self.forget_new_version(is_completed);
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -49,8 +49,8 @@
     }
 
     /// An operator's order was read.
-    pub fn ordered(&mut self, order: RolloutOrder) {
-        self.services.entry(order.service.clone()).or_default().ordered(order);
+    pub fn apply_order(&mut self, order: RolloutOrder) {
+        self.services.entry(order.service.clone()).or_default().apply_order(order);
     }
 
     /// A record was read. Older ones than what is known change nothing.
--- a/tests/all/decisions/rollout_eras.rs
+++ b/tests/all/decisions/rollout_eras.rs
@@ -61,7 +61,7 @@
 #[test]
 fn an_order_that_is_read_again_is_not_begun_anew() {
     let mut rollouts = rollouts(RolloutPhase::Completed);
-    rollouts.ordered(RolloutOrder { row_version: later(30), ..order(0) });
+    rollouts.apply_order(RolloutOrder { row_version: later(30), ..order(0) });
     rollouts.stored(restored(RolloutPhase::Completed, 11));
     // An entry that starts would take the order for a new one, as it is later than the record.
     assert_eq!(due(&rollouts), Some((RolloutPhase::Completed, Some(later(11)))));
@@ -77,13 +77,13 @@
         let mut rollouts = Rollouts::new(RolloutConfig::default());
         rollouts.store_clock(at_ms(0), 0);
         rollouts.stored(stored(RolloutPhase::RolledBack, 5));
-        rollouts.ordered(order(10));
+        rollouts.apply_order(order(10));
         let again = RolloutOrder { row_version: later(30), ..order(0) };
         if is_order_first {
-            rollouts.ordered(again.clone());
+            rollouts.apply_order(again.clone());
         }
         rollouts.stored(restored(RolloutPhase::RolledBack, 5));
-        rollouts.ordered(again);
+        rollouts.apply_order(again);
         assert_eq!(due(&rollouts), Some((RolloutPhase::Canary, Some(later(5)))));
     }
 }
@@ -93,6 +93,6 @@
     let mut rollouts = rollouts(RolloutPhase::Completed);
     rollouts.stored(restored(RolloutPhase::Completed, 11));
     let other = RolloutOrder { duration: Duration::from_secs(30), ..order(0) };
-    rollouts.ordered(RolloutOrder { row_version: later(9), ..other });
+    rollouts.apply_order(RolloutOrder { row_version: later(9), ..other });
     assert_eq!(due(&rollouts), Some((RolloutPhase::Canary, Some(later(11)))));
 }
--- a/tests/all/decisions/rollout_rules.rs
+++ b/tests/all/decisions/rollout_rules.rs
@@ -52,7 +52,7 @@
 pub(super) fn rollouts(phase: RolloutPhase) -> Rollouts {
     let mut rollouts = Rollouts::new(RolloutConfig::default());
     rollouts.store_clock(at_ms(0), 0);
-    rollouts.ordered(order(10));
+    rollouts.apply_order(order(10));
     rollouts.stored(stored(phase, 11));
     rollouts
 }
@@ -153,7 +153,7 @@
 #[test]
 fn before_the_record_is_known_the_old_version_goes_first() {
     let mut rollouts = Rollouts::new(RolloutConfig::default());
-    rollouts.ordered(order(10));
+    rollouts.apply_order(order(10));
     let rule = rule(&rollouts, 0.01, None);
     assert_eq!((rule.wanted, rule.fallback), (old(), Some(VersionFilter::Any)));
 }
@@ -162,7 +162,7 @@
 #[test]
 fn a_record_that_is_older_than_the_order_does_not_answer_it() {
     let mut rollouts = rollouts(RolloutPhase::RolledBack);
-    rollouts.ordered(order(20));
+    rollouts.apply_order(order(20));
     let due = rollouts.due(at_ms(13_000));
     assert_eq!(due.len(), 1);
     assert_eq!(due[0].expected, Some(StoreVersion::of(11)));
@@ -192,7 +192,7 @@
 #[test]
 fn nothing_is_stored_before_the_stores_clock_is_known() {
     let mut rollouts = Rollouts::new(RolloutConfig::default());
-    rollouts.ordered(order(10));
+    rollouts.apply_order(order(10));
     assert!(rollouts.due(at_ms(1)).is_empty());
     rollouts.store_clock(at_ms(1), 700);
     assert_eq!(rollouts.due(at_ms(1))[0].record.started_ms, 700);
@@ -282,7 +282,7 @@
     rollouts.apply_peer_update(&verdict(9, RolloutOutcome::Completed));
     assert_eq!(rule(&rollouts, 0.01, None).wanted, new());
     rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
-    rollouts.ordered(order(12));
+    rollouts.apply_order(order(12));
     assert_eq!(rollouts.decisions(), [], "a new order begins without a verdict");
 }
 
@@ -329,7 +329,7 @@
     answers(&mut rollouts, "v1", 100);
     rollouts.stored(stored(RolloutPhase::Completed, 12));
     answers(&mut rollouts, "v2", 40);
-    rollouts.ordered(RolloutOrder { target: version("v3"), ..order(20) });
+    rollouts.apply_order(RolloutOrder { target: version("v3"), ..order(20) });
     let record = StoredRollout {
         record: RolloutRecord { target: version("v3"), ..stored(RolloutPhase::Canary, 21).record },
         ..stored(RolloutPhase::Canary, 21)
--- a/tests/all/decisions/store_return_model.rs
+++ b/tests/all/decisions/store_return_model.rs
@@ -207,7 +207,7 @@
                 self.is_read_again = is_again;
             }
             let order = self.order(number, duration_s);
-            self.entries[entry].ordered(order);
+            self.entries[entry].apply_order(order);
         }
     }
 
