--- a/crates/gateway/src/follow/taking.rs
+++ b/crates/gateway/src/follow/taking.rs
@@ -94,7 +94,7 @@
     /// What the store's clock says.
     fn note_clock(&self, page: &FeedPage) {
         let now = self.state.now();
-        self.state.rollouts.lock().store_clock(now, page.store_now_ms);
+        self.state.rollouts.lock().set_store_clock(now, page.store_now_ms);
     }
 
     /// What the rows of a page say. For one that cannot be read, what was known stays in
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -44,7 +44,7 @@
     }
 
     /// The store told its clock.
-    pub fn store_clock(&mut self, now: MonoTime, store_now_ms: u64) {
+    pub fn set_store_clock(&mut self, now: MonoTime, store_now_ms: u64) {
         self.clock_offset_ms = Some(store_now_ms.cast_signed() - local_ms(now));
     }
 
--- a/tests/all/decisions/rollout_eras.rs
+++ b/tests/all/decisions/rollout_eras.rs
@@ -75,7 +75,7 @@
 fn an_order_without_an_answer_has_none_when_all_is_read_again() {
     for is_order_first in [true, false] {
         let mut rollouts = Rollouts::new(RolloutConfig::default());
-        rollouts.store_clock(at_ms(0), 0);
+        rollouts.set_store_clock(at_ms(0), 0);
         rollouts.stored(stored(RolloutPhase::RolledBack, 5));
         rollouts.apply_order(order(10));
         let again = RolloutOrder { row_version: later(30), ..order(0) };
--- a/tests/all/decisions/rollout_rules.rs
+++ b/tests/all/decisions/rollout_rules.rs
@@ -51,7 +51,7 @@
 /// An order at row version 10 and its record at 11, at 13 s of the store's clock.
 pub(super) fn rollouts(phase: RolloutPhase) -> Rollouts {
     let mut rollouts = Rollouts::new(RolloutConfig::default());
-    rollouts.store_clock(at_ms(0), 0);
+    rollouts.set_store_clock(at_ms(0), 0);
     rollouts.apply_order(order(10));
     rollouts.stored(stored(phase, 11));
     rollouts
@@ -194,7 +194,7 @@
     let mut rollouts = Rollouts::new(RolloutConfig::default());
     rollouts.apply_order(order(10));
     assert!(rollouts.due(at_ms(1)).is_empty());
-    rollouts.store_clock(at_ms(1), 700);
+    rollouts.set_store_clock(at_ms(1), 700);
     assert_eq!(rollouts.due(at_ms(1))[0].record.started_ms, 700);
 }
 
--- a/tests/all/decisions/store_return_model.rs
+++ b/tests/all/decisions/store_return_model.rs
@@ -127,7 +127,7 @@
 
 fn new_entry() -> Rollouts {
     let mut rollouts = Rollouts::new(RolloutConfig::default());
-    rollouts.store_clock(at_ms(0), 0);
+    rollouts.set_store_clock(at_ms(0), 0);
     rollouts
 }
 
