--- a/crates/gateway/src/request/pace_watch.rs
+++ b/crates/gateway/src/request/pace_watch.rs
@@ -56,7 +56,7 @@
         let before = self.in_progress;
         self.in_progress = self.state.upstreams.in_progress(now, start);
         // A pause is as long as the greater load makes it.
-        let pace = pace.paused(pause, before.max(self.in_progress));
+        let pace = pace.record_pause(pause, before.max(self.in_progress));
         self.tell(pace);
     }
 
--- a/crates/policy/src/rollout/stream_pace.rs
+++ b/crates/policy/src/rollout/stream_pace.rs
@@ -46,7 +46,7 @@
 impl StreamPace {
     /// A pause has ended, or has lasted so long, with so many requests in progress at the
     /// upstream. Gives the pace when this one completes it.
-    pub fn paused(&mut self, time: Duration, in_progress: u32) -> Option<Pace> {
+    pub fn record_pause(&mut self, time: Duration, in_progress: u32) -> Option<Pace> {
         self.pauses.push(Pause { time, in_progress });
         self.time += time;
         if self.pauses.len() >= PAUSES || self.time >= MAX_TIME { self.so_far(1) } else { None }
--- a/tests/all/decisions/rollout_times.rs
+++ b/tests/all/decisions/rollout_times.rs
@@ -99,7 +99,7 @@
 /// The pace that a stream with these pauses shows while it goes on, and at its end.
 fn paces(pauses_ms: &[u64]) -> (Option<Duration>, Option<Duration>) {
     let mut pace = StreamPace::default();
-    let told = pauses_ms.iter().find_map(|pause| pace.paused(ms(*pause), 4));
+    let told = pauses_ms.iter().find_map(|pause| pace.record_pause(ms(*pause), 4));
     (told.map(|pace| pace.pause), pace.ended().map(|pace| pace.pause))
 }
 
@@ -129,9 +129,9 @@
 fn the_load_is_that_of_the_pauses_that_count() {
     let mut pace = StreamPace::default();
     for in_progress in [2, 2, 30, 30, 30, 2, 30] {
-        assert_eq!(pace.paused(pause(in_progress), in_progress), None);
+        assert_eq!(pace.record_pause(pause(in_progress), in_progress), None);
     }
-    let told = pace.paused(pause(2), 2).expect("eight pauses show it");
+    let told = pace.record_pause(pause(2), 2).expect("eight pauses show it");
     assert_eq!((told.pause, told.in_progress), (pause(2), 2));
 }
 
