--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -66,7 +66,7 @@
     fn forget_new_version(&mut self, was_completed: bool) {
         let evidence = std::mem::take(&mut self.evidence);
         if !was_completed || self.has_adopted_target {
-            self.evidence = evidence.of_next_order();
+            self.evidence = evidence.for_next_order();
         }
         self.has_adopted_target = false;
     }
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -45,7 +45,7 @@
 
 impl RolloutEvidence {
     /// Another new version is to be judged against the same old one, whose usual times are known.
-    pub fn of_next_order(self) -> Self {
+    pub fn for_next_order(self) -> Self {
         Self { usual: self.usual, ..Self::default() }
     }
 
--- a/tests/all/decisions/rollout_times.rs
+++ b/tests/all/decisions/rollout_times.rs
@@ -172,7 +172,7 @@
 // difference.
 #[test]
 fn what_was_known_before_an_order_is_kept() {
-    let mut evidence = after_a_burst().of_next_order();
+    let mut evidence = after_a_burst().for_next_order();
     assert_eq!(evidence.own(), RolloutEvidence::default().own(), "counts start anew");
     for _ in 0..15 {
         evidence.new_version(&PACE, 1, Observation::Paced(3 * pause(1)));
