--- a/benches/rollout.rs
+++ b/benches/rollout.rs
@@ -186,7 +186,7 @@
             .collect();
         for (n, entry) in self.entries.iter_mut().enumerate() {
             for (_, news) in news.iter().enumerate().filter(|(of, _)| *of != n) {
-                entry.evidence.counted_elsewhere(*news);
+                entry.evidence.add_peer_counts(*news);
             }
         }
     }
--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -211,7 +211,7 @@
             return;
         }
         let earlier = self.peers.insert(host, totals).unwrap_or_default();
-        self.evidence.counted_elsewhere(totals.since(earlier));
+        self.evidence.add_peer_counts(totals.since(earlier));
         self.judge(service);
     }
 
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -99,7 +99,7 @@
     }
 
     /// Another entry has counted these, which were not counted here before.
-    pub fn counted_elsewhere(&mut self, counts: EvidenceTotals) {
+    pub fn add_peer_counts(&mut self, counts: EvidenceTotals) {
         self.all.add(counts);
         let EvidenceTotals { old, new } = counts;
         self.failures.old_version(old.answers, old.failures);
@@ -143,7 +143,7 @@
 
     fn counted_here(&mut self, counts: EvidenceTotals) {
         self.own.add(counts);
-        self.counted_elsewhere(counts);
+        self.add_peer_counts(counts);
     }
 
     /// What an observation of either version counts as, by the usual times so far.
