--- a/crates/gateway/src/peers/usual_times.rs
+++ b/crates/gateway/src/peers/usual_times.rs
@@ -27,7 +27,7 @@
 pub(super) fn take_times(state: &GatewayState, news: &[TimeNews]) {
     for news in news.iter().take(MAX_TIMES) {
         match time_of(news) {
-            Ok(time) if time.known.is_credible() => {
+            Ok(time) if time.known.is_plausible() => {
                 state.rollouts.lock().apply_baseline_update(time)
             }
             Ok(time) => log::warn!(time:% = time; "ignored: a usual time that cannot be"),
--- a/crates/policy/src/rollout/latency_baseline.rs
+++ b/crates/policy/src/rollout/latency_baseline.rs
@@ -36,7 +36,7 @@
     const MAX_MS: f64 = 600_000.0;
 
     /// Whether it can be a usual time at all.
-    pub fn is_credible(self) -> bool {
+    pub fn is_plausible(self) -> bool {
         (0.0..=Self::MAX_LOAD).contains(&self.load) && (0.0..=Self::MAX_MS).contains(&self.usual_ms)
     }
 }
@@ -106,7 +106,7 @@
     /// Another entry tells what is usual. It is believed where too little was seen here, and
     /// counts as little, so that what is seen here soon goes before it.
     pub fn apply_peer_update(&mut self, known: BaselineLatency) {
-        if !known.is_credible() {
+        if !known.is_plausible() {
             return;
         }
         let level = self.levels.entry(level_of(known.load as u32)).or_default();
