--- a/crates/gateway/src/fatal/keeper.rs
+++ b/crates/gateway/src/fatal/store_writer.rs
@@ -11,7 +11,7 @@
 use stallhoist_policy::fatal::FatalChange;
 use tokio::sync::mpsc;
 
-use super::book::Claim;
+use super::tracker::Claim;
 use crate::control_store::ControlStore;
 use crate::control_store::ControlStoreError;
 use crate::peers::follows_store;
@@ -31,14 +31,14 @@
 const FEED_LAG: Duration = Duration::from_millis(1_000);
 
 /// Writes to the store what it should have, for ever.
-pub(crate) async fn keep<S: ControlStore>(state: Arc<GatewayState>, store: Arc<S>) {
+pub(crate) async fn store_fatal_requests<S: ControlStore>(state: Arc<GatewayState>, store: Arc<S>) {
     let Some(mut claims) = state.fatal.take_claims() else {
         return;
     };
     let mut pause = CHECK_EVERY;
     loop {
         answer_claims(store.as_ref(), &mut claims, pause).await;
-        if !state.fatal.is_used() && !state.fatal.has_open_breaks() {
+        if !state.fatal.is_used() && !state.fatal.has_unexplained_broken_streams() {
             continue;
         }
         let settled = if follows_store(&state) { SETTLED_AFTER } else { LEFT_TO_OTHERS };
--- a/crates/gateway/src/fatal/book.rs
+++ b/crates/gateway/src/fatal/tracker.rs
@@ -36,13 +36,13 @@
 
 /// What the tasks of a gateway share of requests under which upstreams have ended.
 #[derive(Debug)]
-pub(crate) struct FatalBook {
+pub(crate) struct FatalRequestTracker {
     requests: Mutex<FatalRequests>,
     /// Whether anything is known: without, requests need no fingerprint.
     is_used: AtomicBool,
-    has_open_breaks: AtomicBool,
+    has_unexplained_broken_streams: AtomicBool,
     /// Something is known that other entries should know at once.
-    has_news: Notify,
+    updates_available: Notify,
     /// For the lines on ends that cannot be read, which others can cause at will.
     unreadable: Mutex<LogLimit>,
     claims: mpsc::Sender<Claim>,
@@ -50,14 +50,14 @@
     claimed: Mutex<Option<mpsc::Receiver<Claim>>>,
 }
 
-impl Default for FatalBook {
+impl Default for FatalRequestTracker {
     fn default() -> Self {
         let (claims, claimed) = mpsc::channel(MAX_CLAIMS);
         Self {
             requests: Mutex::new(FatalRequests::new(FatalConfig::default())),
             is_used: AtomicBool::new(false),
-            has_open_breaks: AtomicBool::new(false),
-            has_news: Notify::new(),
+            has_unexplained_broken_streams: AtomicBool::new(false),
+            updates_available: Notify::new(),
             unreadable: Mutex::default(),
             claims,
             claimed: Mutex::new(Some(claimed)),
@@ -65,15 +65,15 @@
     }
 }
 
-impl FatalBook {
+impl FatalRequestTracker {
     /// Whether anything is known of any request.
     pub(crate) fn is_used(&self) -> bool {
         self.is_used.load(Ordering::Relaxed)
     }
 
     /// Whether it is still open of any answer that broke off why it did.
-    pub(super) fn has_open_breaks(&self) -> bool {
-        self.has_open_breaks.load(Ordering::Relaxed)
+    pub(super) fn has_unexplained_broken_streams(&self) -> bool {
+        self.has_unexplained_broken_streams.load(Ordering::Relaxed)
     }
 
     /// What may be done with a request now.
@@ -95,7 +95,7 @@
 
     /// An end under a request was not known before.
     fn note_new(&self, now: MonoTime, request: RequestFingerprint, start: &UpstreamIncarnation) {
-        self.has_news.notify_one();
+        self.updates_available.notify_one();
         if matches!(self.verdict(now, request), Disposition::HeldBack { .. }) {
             log::warn!(fingerprint:% = request, instance:% = start; "request held back: it ends upstreams");
         }
@@ -113,7 +113,7 @@
 
     /// It shows that a start of an upstream has ended, which had not said that it leaves.
     pub(crate) fn record_termination(&self, now: MonoTime, start: &UpstreamIncarnation) {
-        if !self.has_open_breaks() {
+        if !self.has_unexplained_broken_streams() {
             return;
         }
         let broken =
@@ -127,7 +127,7 @@
     /// A request was answered whole.
     pub(crate) fn answered(&self, now: MonoTime, request: RequestFingerprint) {
         if self.change(|requests| requests.answered(now, request)) {
-            self.has_news.notify_one();
+            self.updates_available.notify_one();
             log::info!(fingerprint:% = request; "request cleared: it was answered whole");
         }
     }
@@ -136,7 +136,7 @@
     pub(crate) fn apply_peer_update(&self, now: MonoTime, news: impl Iterator<Item = CrashUpdate>) {
         let new = self.change(|requests| requests.apply_peer_update(now, news));
         if new > 0 {
-            self.has_news.notify_one();
+            self.updates_available.notify_one();
         }
     }
 
@@ -159,8 +159,8 @@
     }
 
     /// Waits until there is news for other entries.
-    pub(crate) fn has_news(&self) -> Notified<'_> {
-        self.has_news.notified()
+    pub(crate) fn updates_available(&self) -> Notified<'_> {
+        self.updates_available.notified()
     }
 
     /// What other entries should know.
@@ -181,7 +181,8 @@
         let mut requests = self.requests.lock();
         let result = change(&mut requests);
         self.is_used.store(!requests.is_empty(), Ordering::Relaxed);
-        self.has_open_breaks.store(requests.has_open_breaks(), Ordering::Relaxed);
+        self.has_unexplained_broken_streams
+            .store(requests.has_unexplained_broken_streams(), Ordering::Relaxed);
         result
     }
 
@@ -198,27 +199,27 @@
 
 /// A request that is tried again. The try ends when this is dropped.
 #[derive(Debug)]
-pub(crate) struct Try {
+pub(crate) struct Trial {
     state: Arc<GatewayState>,
     request: RequestFingerprint,
 }
 
-impl Try {
+impl Trial {
     /// Begins to try a request again, if the store agrees.
     pub(crate) async fn begin(
         state: &Arc<GatewayState>,
         request: RequestFingerprint,
     ) -> Option<Self> {
-        let book = &state.fatal;
-        let change = book.change(|requests| requests.begin_trial(state.now(), request))?;
+        let tracker = &state.fatal;
+        let change = tracker.change(|requests| requests.begin_trial(state.now(), request))?;
         let begun = Self { state: Arc::clone(state), request };
         let (answer, answered) = oneshot::channel();
-        book.claims.try_send(Claim { request, change, answer }).ok()?;
+        tracker.claims.try_send(Claim { request, change, answer }).ok()?;
         answered.await.unwrap_or(false).then_some(begun)
     }
 }
 
-impl Drop for Try {
+impl Drop for Trial {
     fn drop(&mut self) {
         let now = self.state.now();
         self.state.fatal.change(|requests| requests.end_trial(now, self.request));
--- a/crates/gateway/src/follow/taking.rs
+++ b/crates/gateway/src/follow/taking.rs
@@ -94,7 +94,7 @@
     /// What the store's clock says.
     fn note_clock(&self, page: &FeedPage) {
         let now = self.state.now();
-        self.state.rollouts.lock().store_clock(now, page.store_now_ms);
+        self.state.rollouts.lock().set_store_clock(now, page.store_now_ms);
     }
 
     /// What the rows of a page say. For one that cannot be read, what was known stays in
@@ -146,7 +146,7 @@
         let state = &self.state;
         match change {
             Change::Config(config) => state.install_config(config),
-            Change::RolloutOrdered(order) => state.rollouts.lock().ordered(order),
+            Change::RolloutOrdered(order) => state.rollouts.lock().apply_order(order),
             Change::Rollout(stored) => state.rollouts.lock().stored(stored),
             Change::MemberListed(_) | Change::MemberGone(_) | Change::MemberUnreadable(_) => {
                 for start in state.upstreams.apply(state.now(), change) {
--- a/crates/gateway/src/peers/evidence.rs
+++ b/crates/gateway/src/peers/evidence.rs
@@ -24,7 +24,7 @@
 
 /// What this entry has counted of roll-outs that are under way.
 pub(super) fn own_evidence(state: &GatewayState) -> Vec<Evidence> {
-    let own = state.rollouts.lock().own_evidence();
+    let own = state.rollouts.lock().local_evidence();
     own.iter().map(|(service, order, totals)| Evidence::of(service, *order, *totals)).collect()
 }
 
@@ -65,7 +65,7 @@
         }
         let host = state.settings.host.id.to_string();
         let sessions = kept_sessions(&state, SessionScope::All);
-        let is_wanting_times = state.rollouts.lock().wants_times();
+        let is_wanting_times = state.rollouts.lock().needs_baselines();
         let ask = Ask { host, evidence, sessions, is_wanting_times, ..Ask::default() };
         let relays = state.peers.lock().other_relays();
         for (_, addr) in relays {
--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -21,8 +21,8 @@
 
 use super::BaselineUpdate;
 use super::ControlRule;
-use super::Ending;
 use super::RolloutDecision;
+use super::RolloutOutcome;
 use super::VersionRule;
 use super::order_and_record::OrderAndRecord;
 use crate::control_store::RolloutChange;
@@ -66,7 +66,7 @@
     fn forget_new_version(&mut self, was_completed: bool) {
         let evidence = std::mem::take(&mut self.evidence);
         if !was_completed || self.has_adopted_target {
-            self.evidence = evidence.of_next_order();
+            self.evidence = evidence.for_next_order();
         }
         self.has_adopted_target = false;
     }
@@ -122,7 +122,7 @@
 
     /// An operator's order was read. After the store has come back from a copy, the one that is known may
     /// be read again, from another row.
-    pub(super) fn ordered(&mut self, order: RolloutOrder) {
+    pub(super) fn apply_order(&mut self, order: RolloutOrder) {
         let is_completed = self.is_completed();
         if self.known.order_is(order) {
             self.forget_new_version(is_completed);
@@ -200,7 +200,7 @@
     }
 
     /// Another entry tells what it has counted in all so far, since an order.
-    pub(super) fn peer_evidence(
+    pub(super) fn apply_peer_evidence(
         &mut self,
         host: HostId,
         service: &ServiceName,
@@ -211,12 +211,12 @@
             return;
         }
         let earlier = self.peers.insert(host, totals).unwrap_or_default();
-        self.evidence.counted_elsewhere(totals.since(earlier));
+        self.evidence.add_peer_counts(totals.since(earlier));
         self.judge(service);
     }
 
     /// Whether the old version's usual times are to be asked of another entry.
-    pub(super) fn wants_times(&self) -> bool {
+    pub(super) fn needs_baselines(&self) -> bool {
         self.is_running() && !self.has_told_times
     }
 
@@ -245,15 +245,15 @@
     /// What is known of the end of the roll-out.
     pub(super) fn verdict(&self) -> Option<RolloutDecision> {
         let order = self.known.order()?;
-        let ending = if self.is_completed() {
-            Ending::Completed
+        let outcome = if self.is_completed() {
+            RolloutOutcome::Completed
         } else if self.is_found_bad && self.is_running() {
-            Ending::Bad
+            RolloutOutcome::Bad
         } else {
             return None;
         };
         let (service, order_version) = (order.service.clone(), order.row_version);
-        Some(RolloutDecision { service, order_version, ending })
+        Some(RolloutDecision { service, order_version, outcome })
     }
 
     /// Another entry knows how the roll-out ends.
@@ -261,16 +261,16 @@
         if !self.is_of_order(verdict.order_version) {
             return;
         }
-        match verdict.ending {
-            Ending::Completed if !self.is_completed() => {
+        match verdict.outcome {
+            RolloutOutcome::Completed if !self.is_completed() => {
                 self.is_told_completed = true;
                 log::info!(service:% = verdict.service; "another entry has read that it is completed");
             }
-            Ending::Bad if self.is_running() && !self.is_found_bad => {
+            RolloutOutcome::Bad if self.is_running() && !self.is_found_bad => {
                 self.is_found_bad = true;
                 log::warn!(service:% = verdict.service; "another entry has found the new version bad");
             }
-            Ending::Bad | Ending::Completed => {}
+            RolloutOutcome::Bad | RolloutOutcome::Completed => {}
         }
     }
 
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -44,13 +44,13 @@
     }
 
     /// The store told its clock.
-    pub fn store_clock(&mut self, now: MonoTime, store_now_ms: u64) {
+    pub fn set_store_clock(&mut self, now: MonoTime, store_now_ms: u64) {
         self.clock_offset_ms = Some(store_now_ms.cast_signed() - local_ms(now));
     }
 
     /// An operator's order was read.
-    pub fn ordered(&mut self, order: RolloutOrder) {
-        self.services.entry(order.service.clone()).or_default().ordered(order);
+    pub fn apply_order(&mut self, order: RolloutOrder) {
+        self.services.entry(order.service.clone()).or_default().apply_order(order);
     }
 
     /// A record was read. Older ones than what is known change nothing.
@@ -120,7 +120,7 @@
 
     /// What this entry has counted of the roll-outs that are under way: the service, the
     /// version of the order's row and the counts.
-    pub fn own_evidence(&self) -> Vec<(ServiceName, StoreVersion, EvidenceTotals)> {
+    pub fn local_evidence(&self) -> Vec<(ServiceName, StoreVersion, EvidenceTotals)> {
         let running = self.services.values().filter(|rollout| rollout.is_running());
         running
             .filter_map(|rollout| {
@@ -152,7 +152,7 @@
     }
 
     /// Another entry tells what it has counted in all so far, since an order.
-    pub fn peer_evidence(
+    pub fn apply_peer_evidence(
         &mut self,
         host: HostId,
         service: &ServiceName,
@@ -160,15 +160,15 @@
         totals: EvidenceTotals,
     ) {
         if let Some(rollout) = self.services.get_mut(service) {
-            rollout.peer_evidence(host, service, order_version, totals);
+            rollout.apply_peer_evidence(host, service, order_version, totals);
         }
     }
 
     /// Whether the old version's usual times are to be asked of another entry: one that starts
     /// during a roll-out, in a burst perhaps, has not seen an upstream that is as idle as the
     /// new version's.
-    pub fn wants_times(&self) -> bool {
-        self.services.values().any(ServiceRollout::wants_times)
+    pub fn needs_baselines(&self) -> bool {
+        self.services.values().any(ServiceRollout::needs_baselines)
     }
 
     /// The old versions' usual times, as far as roll-outs are under way.
@@ -185,7 +185,7 @@
 
     /// What this entry knows of the ends of roll-outs: versions found bad, by its own evidence
     /// or by others, that are not recorded yet, and orders that are completed.
-    pub fn verdicts(&self) -> Vec<RolloutDecision> {
+    pub fn decisions(&self) -> Vec<RolloutDecision> {
         self.services.values().filter_map(ServiceRollout::verdict).collect()
     }
 
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -7,12 +7,12 @@
 use super::EvidenceStanding;
 use super::EvidenceTest;
 use super::EvidenceTotals;
+use super::LatencyBaseline;
 use super::LatencyKind;
 use super::MeanLoad;
 use super::Observation;
 use super::RequestKind;
 use super::TimedCounts;
-use super::UsualTime;
 use super::VersionCounts;
 use super::comparison::Comparison;
 
@@ -33,7 +33,7 @@
 /// part of a short prompt in time, and twice as many good observations would hide the bad ones.
 #[derive(Debug, Default)]
 pub struct RolloutEvidence {
-    usual: HashMap<RequestKind, UsualTime>,
+    usual: HashMap<RequestKind, LatencyBaseline>,
     failures: Comparison,
     first_parts: Comparison,
     paces: Comparison,
@@ -45,7 +45,7 @@
 
 impl RolloutEvidence {
     /// Another new version is to be judged against the same old one, whose usual times are known.
-    pub fn of_next_order(self) -> Self {
+    pub fn for_next_order(self) -> Self {
         Self { usual: self.usual, ..Self::default() }
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Another entry has counted these, which were not counted here before.
-    pub fn counted_elsewhere(&mut self, counts: EvidenceTotals) {
+    pub fn add_peer_counts(&mut self, counts: EvidenceTotals) {
         self.all.add(counts);
         let EvidenceTotals { old, new } = counts;
         self.failures.old_version(old.answers, old.failures);
@@ -143,7 +143,7 @@
 
     fn counted_here(&mut self, counts: EvidenceTotals) {
         self.own.add(counts);
-        self.counted_elsewhere(counts);
+        self.add_peer_counts(counts);
     }
 
     /// What an observation of either version counts as, by the usual times so far.
--- a/crates/policy/src/rollout/usual_time.rs
+++ b/crates/policy/src/rollout/latency_baseline.rs
@@ -36,7 +36,7 @@
     const MAX_MS: f64 = 600_000.0;
 
     /// Whether it can be a usual time at all.
-    pub fn is_credible(self) -> bool {
+    pub fn is_plausible(self) -> bool {
         (0.0..=Self::MAX_LOAD).contains(&self.load) && (0.0..=Self::MAX_MS).contains(&self.usual_ms)
     }
 }
@@ -83,11 +83,11 @@
 /// longer than an old one that has lost them. So each load has a usual time of its own, and
 /// what is learnt at one load changes nothing at another.
 #[derive(Debug, Default)]
-pub struct UsualTime {
+pub struct LatencyBaseline {
     levels: BTreeMap<u32, LoadLevel>,
 }
 
-impl UsualTime {
+impl LatencyBaseline {
     /// An answer took so long at a load.
     pub fn observe(&mut self, load: u32, time: Duration) {
         let level = self.levels.entry(level_of(load)).or_default();
@@ -106,7 +106,7 @@
     /// Another entry tells what is usual. It is believed where too little was seen here, and
     /// counts as little, so that what is seen here soon goes before it.
     pub fn apply_peer_update(&mut self, known: BaselineLatency) {
-        if !known.is_credible() {
+        if !known.is_plausible() {
             return;
         }
         let level = self.levels.entry(level_of(known.load as u32)).or_default();
--- a/tests/all/decisions/rollout_rules.rs
+++ b/tests/all/decisions/rollout_rules.rs
@@ -7,8 +7,8 @@
 use stallhoist_core::VersionName;
 use stallhoist_gateway::control_store::RolloutOrder;
 use stallhoist_gateway::control_store::StoredRollout;
-use stallhoist_gateway::rollouts::Ending;
 use stallhoist_gateway::rollouts::RolloutDecision;
+use stallhoist_gateway::rollouts::RolloutOutcome;
 use stallhoist_gateway::rollouts::Rollouts;
 use stallhoist_gateway::rollouts::VersionFilter;
 use stallhoist_gateway::rollouts::VersionRule;
@@ -51,8 +51,8 @@
 /// An order at row version 10 and its record at 11, at 13 s of the store's clock.
 pub(super) fn rollouts(phase: RolloutPhase) -> Rollouts {
     let mut rollouts = Rollouts::new(RolloutConfig::default());
-    rollouts.store_clock(at_ms(0), 0);
-    rollouts.ordered(order(10));
+    rollouts.set_store_clock(at_ms(0), 0);
+    rollouts.apply_order(order(10));
     rollouts.stored(stored(phase, 11));
     rollouts
 }
@@ -91,7 +91,7 @@
 
 #[test]
 fn a_rolled_back_version_is_not_used_even_without_another() {
-    assert_eq!(rule(&rollouts(RolloutPhase::RolledBack), 0.5, None).otherwise, None);
+    assert_eq!(rule(&rollouts(RolloutPhase::RolledBack), 0.5, None).fallback, None);
 }
 
 /// Roll-outs of which only busy upstreams of the old version were seen.
@@ -153,16 +153,16 @@
 #[test]
 fn before_the_record_is_known_the_old_version_goes_first() {
     let mut rollouts = Rollouts::new(RolloutConfig::default());
-    rollouts.ordered(order(10));
+    rollouts.apply_order(order(10));
     let rule = rule(&rollouts, 0.01, None);
-    assert_eq!((rule.wanted, rule.otherwise), (old(), Some(VersionFilter::Any)));
+    assert_eq!((rule.wanted, rule.fallback), (old(), Some(VersionFilter::Any)));
 }
 
 // The same version is ordered again after it was rolled back.
 #[test]
 fn a_record_that_is_older_than_the_order_does_not_answer_it() {
     let mut rollouts = rollouts(RolloutPhase::RolledBack);
-    rollouts.ordered(order(20));
+    rollouts.apply_order(order(20));
     let due = rollouts.due(at_ms(13_000));
     assert_eq!(due.len(), 1);
     assert_eq!(due[0].expected, Some(StoreVersion::of(11)));
@@ -192,9 +192,9 @@
 #[test]
 fn nothing_is_stored_before_the_stores_clock_is_known() {
     let mut rollouts = Rollouts::new(RolloutConfig::default());
-    rollouts.ordered(order(10));
+    rollouts.apply_order(order(10));
     assert!(rollouts.due(at_ms(1)).is_empty());
-    rollouts.store_clock(at_ms(1), 700);
+    rollouts.set_store_clock(at_ms(1), 700);
     assert_eq!(rollouts.due(at_ms(1))[0].record.started_ms, 700);
 }
 
@@ -206,7 +206,7 @@
 
 fn tell(rollouts: &mut Rollouts, entry: &str, order_version: u64, totals: EvidenceTotals) {
     let host = entry.parse().expect("a name");
-    rollouts.peer_evidence(host, &service(), StoreVersion::of(order_version), totals);
+    rollouts.apply_peer_evidence(host, &service(), StoreVersion::of(order_version), totals);
 }
 
 // In a large fleet no entry alone sees enough of the new version.
@@ -252,14 +252,14 @@
     tell(&mut rollouts, "entry-1", 10, told(3, 1));
     let kind = RequestKind { route: None, model: None, part: LatencyKind::First };
     rollouts.observe(&service(), &version("v2"), &kind, 4, Observation::Failed);
-    let own = rollouts.own_evidence();
+    let own = rollouts.local_evidence();
     assert_eq!(own.len(), 1);
     let totals = own[0].2;
     assert_eq!((totals.new.answers, totals.new.failures, totals.old.answers), (1, 1, 0));
 }
 
-fn verdict(order_version: u64, ending: Ending) -> RolloutDecision {
-    RolloutDecision { service: service(), order_version: StoreVersion::of(order_version), ending }
+fn verdict(order_version: u64, outcome: RolloutOutcome) -> RolloutDecision {
+    RolloutDecision { service: service(), order_version: StoreVersion::of(order_version), outcome }
 }
 
 // Three entries had found a version bad while the store was away; one that had started since
@@ -267,32 +267,32 @@
 #[test]
 fn a_verdict_of_another_entry_counts_at_one_that_has_seen_nothing() {
     let mut rollouts = rollouts(SHIFTING);
-    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
+    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
     assert_eq!(rule(&rollouts, 0.01, None).wanted, old());
     let due = rollouts.due(at_ms(30_000));
     assert_eq!(due.len(), 1);
     assert_eq!(due[0].record.phase, RolloutPhase::RolledBack, "and is not completed");
-    assert_eq!(rollouts.verdicts(), [verdict(10, Ending::Bad)], "it is passed on");
+    assert_eq!(rollouts.decisions(), [verdict(10, RolloutOutcome::Bad)], "it is passed on");
 }
 
 #[test]
 fn a_verdict_on_another_order_does_not_count() {
     let mut rollouts = rollouts(SHIFTING);
-    rollouts.apply_peer_update(&verdict(9, Ending::Bad));
-    rollouts.apply_peer_update(&verdict(9, Ending::Completed));
+    rollouts.apply_peer_update(&verdict(9, RolloutOutcome::Bad));
+    rollouts.apply_peer_update(&verdict(9, RolloutOutcome::Completed));
     assert_eq!(rule(&rollouts, 0.01, None).wanted, new());
-    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
-    rollouts.ordered(order(12));
-    assert_eq!(rollouts.verdicts(), [], "a new order begins without a verdict");
+    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
+    rollouts.apply_order(order(12));
+    assert_eq!(rollouts.decisions(), [], "a new order begins without a verdict");
 }
 
 #[test]
 fn a_verdict_is_told_until_it_is_stored() {
     let mut rollouts = rollouts(RolloutPhase::Canary);
-    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
-    assert_eq!(rollouts.verdicts().len(), 1);
+    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
+    assert_eq!(rollouts.decisions().len(), 1);
     rollouts.stored(stored(RolloutPhase::RolledBack, 12));
-    assert_eq!(rollouts.verdicts(), []);
+    assert_eq!(rollouts.decisions(), []);
 }
 
 // An entry that did not reach the store called the version bad after others had completed the
@@ -300,18 +300,18 @@
 #[test]
 fn a_version_that_is_completed_cannot_be_found_bad() {
     let mut rollouts = rollouts(RolloutPhase::Completed);
-    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
+    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
     assert_eq!(rule(&rollouts, 0.99, None).wanted, new());
-    assert_eq!(rollouts.verdicts(), [verdict(10, Ending::Completed)]);
+    assert_eq!(rollouts.decisions(), [verdict(10, RolloutOutcome::Completed)]);
 }
 
 #[test]
 fn an_entry_that_does_not_reach_the_store_is_told_of_the_completion() {
     let mut rollouts = rollouts(SHIFTING);
-    rollouts.apply_peer_update(&verdict(10, Ending::Bad));
-    rollouts.apply_peer_update(&verdict(10, Ending::Completed));
+    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
+    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Completed));
     let rule = rule(&rollouts, 0.99, None);
-    assert_eq!((rule.wanted, rule.otherwise), (new(), Some(VersionFilter::Any)));
+    assert_eq!((rule.wanted, rule.fallback), (new(), Some(VersionFilter::Any)));
     assert!(rollouts.due(at_ms(30_000)).is_empty(), "there is nothing left to store");
 }
 
@@ -329,12 +329,12 @@
     answers(&mut rollouts, "v1", 100);
     rollouts.stored(stored(RolloutPhase::Completed, 12));
     answers(&mut rollouts, "v2", 40);
-    rollouts.ordered(RolloutOrder { target: version("v3"), ..order(20) });
+    rollouts.apply_order(RolloutOrder { target: version("v3"), ..order(20) });
     let record = StoredRollout {
         record: RolloutRecord { target: version("v3"), ..stored(RolloutPhase::Canary, 21).record },
         ..stored(RolloutPhase::Canary, 21)
     };
     rollouts.stored(record);
     answers(&mut rollouts, "v3", 100);
-    assert!(rollouts.verdicts().iter().any(|verdict| verdict.ending == Ending::Bad));
+    assert!(rollouts.decisions().iter().any(|verdict| verdict.outcome == RolloutOutcome::Bad));
 }
--- a/tests/all/decisions/rollout_times.rs
+++ b/tests/all/decisions/rollout_times.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use stallhoist_policy::rollout::BaselineLatency;
+use stallhoist_policy::rollout::LatencyBaseline;
 use stallhoist_policy::rollout::LatencyKind;
 use stallhoist_policy::rollout::Observation;
 use stallhoist_policy::rollout::RequestKind;
 use stallhoist_policy::rollout::RolloutEvidence;
 use stallhoist_policy::rollout::StreamPace;
-use stallhoist_policy::rollout::UsualTime;
 
 const PACE: RequestKind = RequestKind { route: None, model: None, part: LatencyKind::Pause };
 
@@ -22,8 +22,8 @@
 }
 
 /// Times that were seen at these loads, ten each.
-fn usual(loads: &[u32]) -> UsualTime {
-    let mut usual = UsualTime::default();
+fn usual(loads: &[u32]) -> LatencyBaseline {
+    let mut usual = LatencyBaseline::default();
     for load in loads.iter().flat_map(|load| std::iter::repeat_n(*load, 10)) {
         usual.observe(load, pause(load));
     }
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_few_answers_at_a_load_are_not_believed() {
-    let mut usual = UsualTime::default();
+    let mut usual = LatencyBaseline::default();
     for _ in 0..4 {
         usual.observe(4, ms(20));
     }
@@ -89,7 +89,7 @@
 
 #[test]
 fn what_cannot_be_is_not_believed() {
-    let mut usual = UsualTime::default();
+    let mut usual = LatencyBaseline::default();
     for (load, usual_ms) in [(f64::NAN, 1.0), (1.0, f64::INFINITY), (-1.0, 5.0), (1e12, 5.0)] {
         usual.apply_peer_update(BaselineLatency { load, usual_ms });
     }
@@ -99,7 +99,7 @@
 /// The pace that a stream with these pauses shows while it goes on, and at its end.
 fn paces(pauses_ms: &[u64]) -> (Option<Duration>, Option<Duration>) {
     let mut pace = StreamPace::default();
-    let told = pauses_ms.iter().find_map(|pause| pace.paused(ms(*pause), 4));
+    let told = pauses_ms.iter().find_map(|pause| pace.record_pause(ms(*pause), 4));
     (told.map(|pace| pace.pause), pace.ended().map(|pace| pace.pause))
 }
 
@@ -129,9 +129,9 @@
 fn the_load_is_that_of_the_pauses_that_count() {
     let mut pace = StreamPace::default();
     for in_progress in [2, 2, 30, 30, 30, 2, 30] {
-        assert_eq!(pace.paused(pause(in_progress), in_progress), None);
+        assert_eq!(pace.record_pause(pause(in_progress), in_progress), None);
     }
-    let told = pace.paused(pause(2), 2).expect("eight pauses show it");
+    let told = pace.record_pause(pause(2), 2).expect("eight pauses show it");
     assert_eq!((told.pause, told.in_progress), (pause(2), 2));
 }
 
@@ -172,7 +172,7 @@
 // difference.
 #[test]
 fn what_was_known_before_an_order_is_kept() {
-    let mut evidence = after_a_burst().of_next_order();
+    let mut evidence = after_a_burst().for_next_order();
     assert_eq!(evidence.own(), RolloutEvidence::default().own(), "counts start anew");
     for _ in 0..15 {
         evidence.new_version(&PACE, 1, Observation::Paced(3 * pause(1)));
--- a/tests/all/decisions/store_return_model.rs
+++ b/tests/all/decisions/store_return_model.rs
@@ -21,8 +21,8 @@
 use stallhoist_core::VersionName;
 use stallhoist_gateway::control_store::RolloutOrder;
 use stallhoist_gateway::control_store::StoredRollout;
-use stallhoist_gateway::rollouts::Ending;
 use stallhoist_gateway::rollouts::RolloutDecision;
+use stallhoist_gateway::rollouts::RolloutOutcome;
 use stallhoist_gateway::rollouts::Rollouts;
 use stallhoist_gateway::rollouts::VersionFilter;
 use stallhoist_policy::rollout::RolloutConfig;
@@ -127,7 +127,7 @@
 
 fn new_entry() -> Rollouts {
     let mut rollouts = Rollouts::new(RolloutConfig::default());
-    rollouts.store_clock(at_ms(0), 0);
+    rollouts.set_store_clock(at_ms(0), 0);
     rollouts
 }
 
@@ -207,7 +207,7 @@
                 self.is_read_again = is_again;
             }
             let order = self.order(number, duration_s);
-            self.entries[entry].ordered(order);
+            self.entries[entry].apply_order(order);
         }
     }
 
@@ -241,7 +241,8 @@
             return;
         };
         let order_version = self.version(number);
-        let verdict = RolloutDecision { service: service(), order_version, ending: Ending::Bad };
+        let verdict =
+            RolloutDecision { service: service(), order_version, outcome: RolloutOutcome::Bad };
         self.entries[entry].apply_peer_update(&verdict);
     }
 
