--- a/benches/support/cold_world.rs
+++ b/benches/support/cold_world.rs
@@ -13,7 +13,7 @@
 use stallhoist_policy::cold::ColdUpstreams;
 use stallhoist_policy::cold::ReportedCold;
 use stallhoist_policy::fleet_bound::Fleet;
-use stallhoist_policy::fleet_bound::SlotAvailability;
+use stallhoist_policy::fleet_bound::SendQuota;
 
 use crate::seeded_runs::at;
 use crate::seeded_runs::draw_weighted;
@@ -231,8 +231,7 @@
             Way::Free => true,
             Way::Among(_) => {
                 let start = &self.starts[upstream];
-                entry.cold.place(at(now_s), start, Some(&SERVICE), &entry.fleet)
-                    == SlotAvailability::Free
+                entry.cold.place(at(now_s), start, Some(&SERVICE), &entry.fleet) == SendQuota::Free
             }
             Way::Oracle => {
                 let known = &mut self.known[upstream];
--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -14,7 +14,7 @@
 use stallhoist_policy::balance::other_ms;
 use stallhoist_policy::balance::other_zone_cost_ms;
 use stallhoist_policy::balance::own_reading_ms;
-use stallhoist_policy::fleet_bound::SlotAvailability;
+use stallhoist_policy::fleet_bound::SendQuota;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::Chosen;
@@ -250,11 +250,11 @@
 }
 
 /// What an upstream without a place makes of a request, and when that ends.
-fn place_lack(place: SlotAvailability) -> Option<(MonoTime, Lack)> {
+fn place_lack(place: SendQuota) -> Option<(MonoTime, Lack)> {
     match place {
-        SlotAvailability::Unbounded | SlotAvailability::Free => None,
-        SlotAvailability::FreeAt(at) => Some((at, Lack::NoPlace(at))),
-        SlotAvailability::OthersUntil(at) => Some((at, Lack::PlacesOfOthers(at))),
+        SendQuota::Unbounded | SendQuota::Free => None,
+        SendQuota::FreeAt(at) => Some((at, Lack::NoPlace(at))),
+        SendQuota::OthersUntil(at) => Some((at, Lack::PlacesOfOthers(at))),
     }
 }
 
--- a/crates/gateway/src/upstreams/cold.rs
+++ b/crates/gateway/src/upstreams/cold.rs
@@ -9,7 +9,7 @@
 use stallhoist_core::ServiceName;
 use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::cold::ColdService;
-use stallhoist_policy::fleet_bound::SlotAvailability;
+use stallhoist_policy::fleet_bound::SendQuota;
 
 use super::Known;
 use super::Upstreams;
@@ -51,7 +51,7 @@
 
 impl Known {
     /// Whether a request may be sent to an upstream now, as far as it is cold.
-    pub(super) fn cold_place(&self, now: MonoTime, member: &Member) -> SlotAvailability {
+    pub(super) fn cold_place(&self, now: MonoTime, member: &Member) -> SendQuota {
         let service = self.cold_services.get(&member.service);
         self.cold.place(now, &member.start, service, &self.fleet)
     }
@@ -62,7 +62,7 @@
         let is_warm = |start: &&UpstreamIncarnation| {
             self.directory.member(start).is_some_and(|member| {
                 self.cold_services.contains_key(&member.service)
-                    && self.cold_place(now, member) == SlotAvailability::Unbounded
+                    && self.cold_place(now, member) == SendQuota::Unbounded
             })
         };
         let warm: HashSet<UpstreamIncarnation> =
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -41,7 +41,7 @@
 use stallhoist_policy::cold::ColdService;
 use stallhoist_policy::cold::ColdUpstreams;
 use stallhoist_policy::fleet_bound::Fleet;
-use stallhoist_policy::fleet_bound::SlotAvailability;
+use stallhoist_policy::fleet_bound::SendQuota;
 use stallhoist_policy::named_limits::NamedLimits;
 use stallhoist_settings::DecisionSettings;
 use stallhoist_settings::GatewaySettings;
@@ -126,7 +126,7 @@
 
     /// Whether a request may be sent to an upstream now: it may be cold, have named a limit or have asked
     /// for rest.
-    fn place(&self, now: MonoTime, member: &Member) -> SlotAvailability {
+    fn place(&self, now: MonoTime, member: &Member) -> SendQuota {
         let limited = self.limits.place(now, &member.start, &self.fleet);
         let rested = self.rests.place(now, &member.start);
         self.cold_place(now, member).and(limited).and(rested)
--- a/crates/policy/src/asked_rests.rs
+++ b/crates/policy/src/asked_rests.rs
@@ -7,7 +7,7 @@
 use stallhoist_core::MonoTime;
 use stallhoist_core::UpstreamIncarnation;
 
-use crate::fleet_bound::SlotAvailability;
+use crate::fleet_bound::SendQuota;
 
 /// The longest rest that is believed, whatever is asked for: then one request finds out, so that no
 /// upstream is put out by nonsense.
@@ -33,13 +33,13 @@
     }
 
     /// Whether a request may be sent to an upstream now.
-    pub fn place(&self, now: MonoTime, start: &UpstreamIncarnation) -> SlotAvailability {
+    pub fn place(&self, now: MonoTime, start: &UpstreamIncarnation) -> SendQuota {
         if self.by_start.is_empty() {
-            return SlotAvailability::Unbounded;
+            return SendQuota::Unbounded;
         }
         match self.by_start.get(start) {
-            Some(until) if now < *until => SlotAvailability::FreeAt(*until),
-            _ => SlotAvailability::Unbounded,
+            Some(until) if now < *until => SendQuota::FreeAt(*until),
+            _ => SendQuota::Unbounded,
         }
     }
 
--- a/crates/policy/src/cold/upstreams.rs
+++ b/crates/policy/src/cold/upstreams.rs
@@ -13,7 +13,7 @@
 use super::record::WINDOW;
 use crate::balance::UpstreamKey;
 use crate::fleet_bound::Fleet;
-use crate::fleet_bound::SlotAvailability;
+use crate::fleet_bound::SendQuota;
 
 /// The upstreams that may be cold, as one entry knows them.
 #[derive(Debug)]
@@ -72,26 +72,26 @@
         start: &UpstreamIncarnation,
         service: Option<&ColdService>,
         fleet: &Fleet,
-    ) -> SlotAvailability {
+    ) -> SendQuota {
         if self.by_start.is_empty() {
-            return SlotAvailability::Unbounded;
+            return SendQuota::Unbounded;
         }
         let (Some(bound), Some(service)) = (&self.bound, service) else {
-            return SlotAvailability::Unbounded;
+            return SendQuota::Unbounded;
         };
         let Some(record) = self.by_start.get(start) else {
-            return SlotAvailability::Unbounded;
+            return SendQuota::Unbounded;
         };
         let until = record.until(service);
         if now >= until {
-            return SlotAvailability::Unbounded;
+            return SendQuota::Unbounded;
         }
         let rank = fleet.rank_for(now, UpstreamKey::of(start), &record.rank);
         let share = rank.map_or(0, |rank| bound.share(service, rank));
         match record.sent.next_at(now, share, WINDOW) {
-            Some(at) if at <= now => SlotAvailability::Free,
-            Some(at) => SlotAvailability::FreeAt(at.min(until)),
-            None => SlotAvailability::OthersUntil(until),
+            Some(at) if at <= now => SendQuota::Free,
+            Some(at) => SendQuota::FreeAt(at.min(until)),
+            None => SendQuota::OthersUntil(until),
         }
     }
 
--- a/crates/policy/src/fleet_bound/mod.rs
+++ b/crates/policy/src/fleet_bound/mod.rs
@@ -4,12 +4,12 @@
 //! are ranked for each upstream by a hash of both, and those that come first share it.
 
 mod fleet;
-mod place;
 mod rank;
+mod send_quota;
 mod sent;
 
 pub use fleet::Fleet;
-pub use place::SlotAvailability;
 pub use rank::Rank;
 pub(crate) use rank::RankCache;
+pub use send_quota::SendQuota;
 pub(crate) use sent::SentTimes;
--- a/crates/policy/src/fleet_bound/place.rs
+++ b/crates/policy/src/fleet_bound/send_quota.rs
@@ -4,7 +4,7 @@
 
 /// Whether a request may be sent to an upstream now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SlotAvailability {
+pub enum SendQuota {
     /// Nothing bounds what comes to it: any number may.
     Unbounded,
     /// There is a bound, and this entry may send it one.
@@ -15,7 +15,7 @@
     OthersUntil(MonoTime),
 }
 
-impl SlotAvailability {
+impl SendQuota {
     /// The place under two bounds at once.
     #[must_use]
     pub fn and(self, other: Self) -> Self {
--- a/crates/policy/src/named_limits/record.rs
+++ b/crates/policy/src/named_limits/record.rs
@@ -9,8 +9,8 @@
 use crate::balance::UpstreamKey;
 use crate::fleet_bound::Fleet;
 use crate::fleet_bound::RankCache;
+use crate::fleet_bound::SendQuota;
 use crate::fleet_bound::SentTimes;
-use crate::fleet_bound::SlotAvailability;
 
 /// Requests count together that were sent within this time. Longer than the four seconds within which
 /// upstreams count, as one request may take longer on its way than the next.
@@ -118,21 +118,16 @@
         self.last_sent = Some(now);
     }
 
-    pub(super) fn place(
-        &self,
-        now: MonoTime,
-        upstream: UpstreamKey,
-        fleet: &Fleet,
-    ) -> SlotAvailability {
+    pub(super) fn place(&self, now: MonoTime, upstream: UpstreamKey, fleet: &Fleet) -> SendQuota {
         let Some(limit) = self.limit else {
-            return SlotAvailability::Unbounded;
+            return SendQuota::Unbounded;
         };
         let (total, window) = allowance(limit);
         let rank = fleet.rank_for(now, upstream, &self.rank);
         let share = rank.map_or(0, |rank| rank.share(total, u32::MAX));
         match self.sent.next_at(now, share, window) {
-            Some(at) if at <= now => SlotAvailability::Free,
-            Some(at) => SlotAvailability::FreeAt(at),
+            Some(at) if at <= now => SendQuota::Free,
+            Some(at) => SendQuota::FreeAt(at),
             None => {
                 let turns = Turns::new(fleet.len(), total, window / total);
                 turns.place(now, self.told, self.last_sent, rank)
--- a/crates/policy/src/named_limits/turns.rs
+++ b/crates/policy/src/named_limits/turns.rs
@@ -5,7 +5,7 @@
 use stallhoist_core::MonoTime;
 
 use crate::fleet_bound::Rank;
-use crate::fleet_bound::SlotAvailability;
+use crate::fleet_bound::SendQuota;
 
 /// The entries that have a part hear from the upstream, and tell the others. Where none of that has
 /// come for so long, one that has no part sends a request of its own.
@@ -42,20 +42,20 @@
         told: MonoTime,
         last_sent: Option<MonoTime>,
         rank: Option<Rank>,
-    ) -> SlotAvailability {
+    ) -> SendQuota {
         let place = rank.map_or(self.entries, |rank| rank.place);
         let first = told.after(QUIET_FOR).after(self.turns(place.saturating_sub(self.owners)));
         if now < first {
-            return SlotAvailability::OthersUntil(first);
+            return SendQuota::OthersUntil(first);
         }
         let round = self.round();
         let rounds = now.since(first).as_micros() / round.as_micros().max(1);
         let begin = first.after(round.saturating_mul(u32::try_from(rounds).unwrap_or(u32::MAX)));
         let is_used = last_sent.is_some_and(|sent| sent >= begin);
         if now < begin.after(self.turn) && !is_used {
-            return SlotAvailability::Free;
+            return SendQuota::Free;
         }
-        SlotAvailability::OthersUntil(begin.after(round))
+        SendQuota::OthersUntil(begin.after(round))
     }
 
     /// The time until an entry's next turn: all others have had theirs by then.
--- a/crates/policy/src/named_limits/upstreams.rs
+++ b/crates/policy/src/named_limits/upstreams.rs
@@ -13,7 +13,7 @@
 use super::record::Record;
 use crate::balance::UpstreamKey;
 use crate::fleet_bound::Fleet;
-use crate::fleet_bound::SlotAvailability;
+use crate::fleet_bound::SendQuota;
 
 /// How long what is known of an upstream's limit is kept after the last word of it. Not until its
 /// entry in the list goes, since that comes back after an outage of the store.
@@ -96,18 +96,13 @@
     }
 
     /// Whether one of these entries may send a request to an upstream now.
-    pub fn place(
-        &self,
-        now: MonoTime,
-        start: &UpstreamIncarnation,
-        fleet: &Fleet,
-    ) -> SlotAvailability {
+    pub fn place(&self, now: MonoTime, start: &UpstreamIncarnation, fleet: &Fleet) -> SendQuota {
         if self.by_upstream.is_empty() {
-            return SlotAvailability::Unbounded;
+            return SendQuota::Unbounded;
         }
         let upstream = UpstreamKey::of(start);
         let record = self.by_upstream.get(&upstream);
-        record.map_or(SlotAvailability::Unbounded, |record| record.place(now, upstream, fleet))
+        record.map_or(SendQuota::Unbounded, |record| record.place(now, upstream, fleet))
     }
 
     /// A request is sent to an upstream.
--- a/tests/all/decisions/cold.rs
+++ b/tests/all/decisions/cold.rs
@@ -16,7 +16,7 @@
 use stallhoist_policy::cold::ReportedCold;
 use stallhoist_policy::fleet_bound::Fleet;
 use stallhoist_policy::fleet_bound::Rank;
-use stallhoist_policy::fleet_bound::SlotAvailability;
+use stallhoist_policy::fleet_bound::SendQuota;
 
 use super::at_ms;
 
@@ -52,7 +52,7 @@
         Self { cold: ColdUpstreams::new(Some(BOUND)), fleet }
     }
 
-    fn place(&self, now: MonoTime, start: &UpstreamIncarnation) -> SlotAvailability {
+    fn place(&self, now: MonoTime, start: &UpstreamIncarnation) -> SendQuota {
         self.cold.place(now, start, Some(&SERVICE), &self.fleet)
     }
 }
@@ -62,7 +62,7 @@
     Entry::knowing(number, entries)
 }
 
-fn place(entry: &Entry, ms: u64) -> SlotAvailability {
+fn place(entry: &Entry, ms: u64) -> SendQuota {
     entry.place(at(ms), &start("i-1"))
 }
 
@@ -74,8 +74,8 @@
             let mut entry = entry(0, 1);
             entry.cold.record_report(at(1_000), &start("i-1"), $told);
             let last_cold = 1_000 + $for_ms - 1;
-            assert!($for_ms == 0 || place(&entry, last_cold) != SlotAvailability::Unbounded);
-            assert_eq!(place(&entry, 1_000 + $for_ms), SlotAvailability::Unbounded);
+            assert!($for_ms == 0 || place(&entry, last_cold) != SendQuota::Unbounded);
+            assert_eq!(place(&entry, 1_000 + $for_ms), SendQuota::Unbounded);
         }
     };
 }
@@ -110,9 +110,9 @@
     let told = ReportedCold::For(Duration::from_millis(2_500));
     entry.cold.record_report(at(0), &start("i-1"), told);
     entry.cold.read(at(2_000), &start("i-1"), told);
-    assert_eq!(place(&entry, 2_500), SlotAvailability::Unbounded);
+    assert_eq!(place(&entry, 2_500), SendQuota::Unbounded);
     entry.cold.record_report(at(5_000), &start("i-1"), told);
-    assert_eq!(place(&entry, 5_000), SlotAvailability::Free);
+    assert_eq!(place(&entry, 5_000), SendQuota::Free);
 }
 
 #[test]
@@ -120,11 +120,11 @@
     let mut entry = entry(0, 1);
     entry.cold.record_report(at(0), &start("i-1"), ReportedCold::For(Duration::ZERO));
     entry.cold.is_back_in_use(at(9_000), &start("i-1"));
-    assert_eq!(place(&entry, 11_999), SlotAvailability::Free);
-    assert_eq!(place(&entry, 12_000), SlotAvailability::Unbounded);
+    assert_eq!(place(&entry, 11_999), SendQuota::Free);
+    assert_eq!(place(&entry, 12_000), SendQuota::Unbounded);
     entry.cold.is_back_in_use(at(20_000), &start("i-1"));
     entry.cold.record_report(at(20_100), &start("i-1"), ReportedCold::For(Duration::ZERO));
-    assert_eq!(place(&entry, 20_100), SlotAvailability::Unbounded);
+    assert_eq!(place(&entry, 20_100), SendQuota::Unbounded);
 }
 
 #[test]
@@ -132,7 +132,7 @@
     let mut entry = entry(0, 1);
     entry.cold = ColdUpstreams::new(None);
     entry.cold.record_report(at(0), &start("i-1"), ReportedCold::Unsaid);
-    assert_eq!(place(&entry, 0), SlotAvailability::Unbounded);
+    assert_eq!(place(&entry, 0), SendQuota::Unbounded);
 }
 
 #[test]
@@ -140,11 +140,11 @@
     let mut entry = entry(0, 1);
     entry.cold.record_report(at(0), &start("i-1"), ReportedCold::Unsaid);
     for _ in 0..28 {
-        assert_eq!(place(&entry, 100), SlotAvailability::Free);
+        assert_eq!(place(&entry, 100), SendQuota::Free);
         entry.cold.sent(at(100), &start("i-1"));
     }
-    assert_eq!(place(&entry, 100), SlotAvailability::FreeAt(at(1_200)));
-    assert_eq!(place(&entry, 1_200), SlotAvailability::Free);
+    assert_eq!(place(&entry, 100), SendQuota::FreeAt(at(1_200)));
+    assert_eq!(place(&entry, 1_200), SendQuota::Free);
 }
 
 /// Until the others count it, they divide all that there is among themselves.
@@ -152,14 +152,14 @@
 fn an_entry_that_is_new_sends_nothing_until_the_others_count_it() {
     let mut entry = Entry::knowing(7, 0);
     entry.cold.record_report(at(0), &start("i-1"), ReportedCold::For(Duration::from_secs(20)));
-    let others = SlotAvailability::OthersUntil(at(20_000));
+    let others = SendQuota::OthersUntil(at(20_000));
     assert_eq!(place(&entry, 100), others);
     (0..3).for_each(|other| entry.fleet.listed(host(other)));
     assert_eq!(place(&entry, 100), others);
     entry.fleet.announce_self(at(200));
     entry.fleet.listed(host(7));
     assert_eq!(place(&entry, 3_199), others);
-    assert_eq!(place(&entry, 3_200), SlotAvailability::Free);
+    assert_eq!(place(&entry, 3_200), SendQuota::Free);
 }
 
 /// Its host was listed by an earlier process, and the others have counted it all the while.
@@ -168,7 +168,7 @@
     let mut entry = entry(2, 3);
     entry.fleet.announce_self(at(200));
     entry.cold.record_report(at(200), &start("i-1"), ReportedCold::Unsaid);
-    assert_eq!(place(&entry, 200), SlotAvailability::Free);
+    assert_eq!(place(&entry, 200), SendQuota::Free);
 }
 
 /// The earlier process may have used the entry's part just before it ended.
@@ -177,8 +177,8 @@
     let mut entry = entry(2, 3);
     entry.cold.record_report(at_ms(0), &start("i-1"), ReportedCold::Unsaid);
     let place = |ms| entry.place(at_ms(ms), &start("i-1"));
-    assert_eq!(place(1_099), SlotAvailability::OthersUntil(at_ms(3_000)));
-    assert_eq!(place(1_100), SlotAvailability::Free);
+    assert_eq!(place(1_099), SendQuota::OthersUntil(at_ms(3_000)));
+    assert_eq!(place(1_100), SendQuota::Free);
 }
 
 /// What all of so many entries would send in a second to an upstream, each as much as it may.
@@ -188,7 +188,7 @@
         let start = start(upstream);
         entry.cold.record_report(at(0), &start, ReportedCold::Unsaid);
         let mut sent = 0;
-        while entry.place(at(1), &start) == SlotAvailability::Free {
+        while entry.place(at(1), &start) == SendQuota::Free {
             entry.cold.sent(at(1), &start);
             sent += 1;
         }
@@ -249,7 +249,7 @@
         let mut sent: Vec<MonoTime> = Vec::new();
         for gap_ms in gaps_ms {
             now_ms += gap_ms;
-            if place(&entry, now_ms) == SlotAvailability::Free {
+            if place(&entry, now_ms) == SendQuota::Free {
                 entry.cold.sent(at(now_ms), &start("i-1"));
                 sent.push(at(now_ms));
             }
--- a/tests/all/decisions/named_limits.rs
+++ b/tests/all/decisions/named_limits.rs
@@ -9,7 +9,7 @@
 use stallhoist_core::UpstreamIncarnation;
 use stallhoist_policy::balance::UpstreamKey;
 use stallhoist_policy::fleet_bound::Fleet;
-use stallhoist_policy::fleet_bound::SlotAvailability;
+use stallhoist_policy::fleet_bound::SendQuota;
 use stallhoist_policy::named_limits::LimitUpdate;
 use stallhoist_policy::named_limits::NamedLimit;
 use stallhoist_policy::named_limits::NamedLimits;
@@ -70,14 +70,14 @@
         self.limits.limit(&start()).map(RequestRate::per_s)
     }
 
-    fn place(&self, ms: u64) -> SlotAvailability {
+    fn place(&self, ms: u64) -> SendQuota {
         self.limits.place(at(ms), &start(), &self.fleet)
     }
 
     /// Sends as many as it may at one moment.
     fn send_all(&mut self, ms: u64) -> usize {
         let mut sent = 0;
-        while self.place(ms) == SlotAvailability::Free {
+        while self.place(ms) == SendQuota::Free {
             self.limits.sent(at(ms), &start());
             sent += 1;
         }
@@ -121,7 +121,7 @@
         fn $name() {
             let mut entry = Entry::limited(0, 1, $per_s);
             entry.send_all(0);
-            assert_eq!(entry.place(1), SlotAvailability::FreeAt(at($ms)));
+            assert_eq!(entry.place(1), SendQuota::FreeAt(at($ms)));
             assert_eq!(entry.send_all($ms - 1), 0);
             assert!(entry.send_all($ms) > 0);
         }
@@ -136,7 +136,7 @@
 fn a_huge_limit_bounds_nothing() {
     let mut entry = Entry::limited(0, 1, 2.2);
     assert!(entry.names(100, 50, 1e308));
-    assert_eq!(entry.place(100), SlotAvailability::Unbounded);
+    assert_eq!(entry.place(100), SendQuota::Unbounded);
 }
 
 #[test]
@@ -146,14 +146,14 @@
     assert_eq!(entry.limit(), Some(2.2));
     let mut other = Entry::of(0, 1);
     assert!(!other.limits.record_report(at(900), &start(), at(800), NamedLimit::Unknown));
-    assert_eq!(other.place(900), SlotAvailability::Unbounded);
+    assert_eq!(other.place(900), SendQuota::Unbounded);
 }
 
 #[test]
 fn an_answer_that_names_none_ends_it() {
     let mut entry = Entry::limited(0, 1, 2.2);
     assert!(entry.names_none(200, 100));
-    assert_eq!(entry.place(200), SlotAvailability::Unbounded);
+    assert_eq!(entry.place(200), SendQuota::Unbounded);
 }
 
 // It was made before the limit was named, and came later.
@@ -199,11 +199,11 @@
 fn without_a_part() -> Entry {
     let places = (0..21).map(|n| (Entry::limited(n, 21, 0.3), n));
     let last = places.max_by_key(|(entry, _)| match entry.place(1) {
-        SlotAvailability::OthersUntil(at) => at,
+        SendQuota::OthersUntil(at) => at,
         _ => MonoTime::default(),
     });
     let (entry, _) = last.expect("an entry");
-    assert!(matches!(entry.place(1), SlotAvailability::OthersUntil(_)));
+    assert!(matches!(entry.place(1), SendQuota::OthersUntil(_)));
     entry
 }
 
@@ -213,7 +213,7 @@
     let mut sent: Vec<u64> = Vec::new();
     for ms in (0..400_000).step_by(50) {
         for entry in &mut entries {
-            let is_asking = matches!(entry.place(ms), SlotAvailability::Free);
+            let is_asking = matches!(entry.place(ms), SendQuota::Free);
             if is_asking {
                 entry.limits.sent(at(ms), &start());
                 sent.push(ms);
@@ -232,7 +232,7 @@
 fn one_without_a_part_waits_while_others_hear_of_it() {
     let mut entry = without_a_part();
     let until = |place| {
-        if let SlotAvailability::OthersUntil(at) = place { at } else { MonoTime::default() }
+        if let SendQuota::OthersUntil(at) = place { at } else { MonoTime::default() }
     };
     let before = until(entry.place(1));
     entry.is_told(5_000, LimitUpdate { limit: Some(rate(0.3)), age: Duration::ZERO });
@@ -243,7 +243,7 @@
 fn one_that_is_told_that_it_is_over_uses_it_in_full() {
     let mut entry = without_a_part();
     assert!(entry.is_told(900, LimitUpdate { limit: None, age: Duration::from_millis(100) }));
-    assert_eq!(entry.place(900), SlotAvailability::Unbounded);
+    assert_eq!(entry.place(900), SendQuota::Unbounded);
 }
 
 #[test]
@@ -351,7 +351,7 @@
     for (n, gap_ms) in gaps_ms.iter().enumerate() {
         now_ms += gap_ms;
         let entry = &mut fleet[n % entries];
-        if entry.place(now_ms) == SlotAvailability::Free {
+        if entry.place(now_ms) == SendQuota::Free {
             entry.limits.sent(at(now_ms), &start());
             entry.names(now_ms, now_ms, per_s);
             sent.push(now_ms);
