--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -23,7 +23,6 @@
 use stallhoist_core::ServiceName;
 use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::ZoneName;
-use stallhoist_policy::asked_rests::AskedRests;
 use stallhoist_policy::balance::BalanceConfig;
 use stallhoist_policy::balance::CandidateFacts;
 use stallhoist_policy::balance::Evidence;
@@ -43,6 +42,7 @@
 use stallhoist_policy::fleet_bound::Fleet;
 use stallhoist_policy::fleet_bound::SendQuota;
 use stallhoist_policy::named_limits::NamedLimits;
+use stallhoist_policy::requested_backoffs::RequestedBackoffs;
 use stallhoist_settings::DecisionSettings;
 use stallhoist_settings::GatewaySettings;
 use tokio::sync::Notify;
@@ -79,7 +79,7 @@
     fleet: Fleet,
     cold: ColdUpstreams,
     limits: NamedLimits,
-    rests: AskedRests,
+    rests: RequestedBackoffs,
     /// What upstreams of each service bear while they are cold.
     cold_services: HashMap<ServiceName, ColdService>,
     /// How many of each service were cold when it was looked at last.
@@ -107,7 +107,7 @@
             fleet: Fleet::new(own),
             cold: ColdUpstreams::new(bound),
             limits: NamedLimits::default(),
-            rests: AskedRests::default(),
+            rests: RequestedBackoffs::default(),
             cold_services: HashMap::new(),
             cold_counts: BTreeMap::new(),
         }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,7 +7,6 @@
 //! tasks. The same code runs in the daemons, in the tests and in the benches.
 
 pub mod admission;
-pub mod asked_rests;
 pub mod balance;
 pub mod cascade;
 pub mod cold;
@@ -17,6 +16,7 @@
 pub mod limits;
 pub mod named_limits;
 pub mod placement;
+pub mod requested_backoffs;
 pub mod retry;
 pub mod rollout;
 pub mod version;
--- a/crates/policy/src/asked_rests.rs
+++ b/crates/policy/src/requested_backoffs.rs
@@ -18,12 +18,12 @@
 /// Unlike the pause after refusals (`balance::health`), which is this entry's own guess and is passed over
 /// when no other upstream is well, a rest that was asked for always holds.
 #[derive(Debug, Default)]
-pub struct AskedRests {
+pub struct RequestedBackoffs {
     /// Until when, few mostly: each choice looks for each upstream here.
     by_start: HashMap<UpstreamIncarnation, MonoTime>,
 }
 
-impl AskedRests {
+impl RequestedBackoffs {
     /// An upstream asks for so much rest. A longer one that it has asked for before still holds, and no
     /// answer ends it: other requests may have been taken before it was asked for.
     pub fn asked(&mut self, now: MonoTime, start: &UpstreamIncarnation, rest: Duration) {
