--- a/crates/gateway/src/request/execution/choice.rs
+++ b/crates/gateway/src/request/execution/choice.rs
@@ -12,8 +12,8 @@
 use crate::request::GiveUp;
 use crate::rollouts::VersionRule;
 use crate::upstreams::Chosen;
-use crate::upstreams::Lack;
 use crate::upstreams::Placement;
+use crate::upstreams::UnavailableReason;
 
 /// How long a request waits for an upstream to be listed when there is none: entries
 /// that lapsed while the store was away come back in about two seconds.
@@ -50,13 +50,18 @@
                 return Err(self.give_up());
             }
             let mut pause = until.since(now).min(LOOK_AGAIN);
-            match self.lack() {
-                Lack::NoneUsable => {}
-                Lack::NoneAllowed => return Err(self.not_allowed()),
-                Lack::NoPlace(at) if at > until => return Err(self.refused_until(at)),
+            match self.unavailable_reason() {
+                UnavailableReason::NoneUsable => {}
+                UnavailableReason::NoneAllowed => return Err(self.not_allowed()),
+                UnavailableReason::NoQuotaUntil(at) if at > until => {
+                    return Err(self.refused_until(at));
+                }
                 // The caller is sent to another entry, which may be one of those.
-                Lack::PlacesOfOthers(at) if at > until => return Err(self.give_up()),
-                Lack::NoPlace(at) | Lack::PlacesOfOthers(at) => pause = pause.min(at.since(now)),
+                UnavailableReason::PeersHoldQuotaUntil(at) if at > until => {
+                    return Err(self.give_up());
+                }
+                UnavailableReason::NoQuotaUntil(at)
+                | UnavailableReason::PeersHoldQuotaUntil(at) => pause = pause.min(at.since(now)),
             }
             let changed = self.state.upstreams.changed();
             let _ = tokio::time::timeout(pause, changed).await;
@@ -81,10 +86,10 @@
     }
 
     /// Why there is no upstream for the next attempt.
-    fn lack(&self) -> Lack {
+    fn unavailable_reason(&self) -> UnavailableReason {
         let rule = self.version_rule();
         let placement = self.placement(&rule, self.models.chosen(), &[]);
-        self.state.upstreams.lack(self.state.now(), &placement)
+        self.state.upstreams.unavailable_reason(self.state.now(), &placement)
     }
 
     /// No place is free before then. What has not run is refused at once.
--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -19,8 +19,8 @@
 
 use super::Chosen;
 use super::Known;
-use super::Lack;
 use super::Placement;
+use super::UnavailableReason;
 use crate::members::Member;
 use crate::rollouts::VersionFilter;
 use crate::routing::RegionsOfZones;
@@ -85,22 +85,22 @@
     }
 
     /// Why there is none.
-    pub(super) fn lack(&self) -> Lack {
+    pub(super) fn unavailable_reason(&self) -> UnavailableReason {
         let (directory, service) = (&self.known.directory, self.placement.service);
         let is_any_listed = directory.of_service(self.now, service, true).next().is_some();
         let is_any_allowed = self.allowed(true).next().is_some();
         if is_any_listed && !is_any_allowed {
-            return Lack::NoneAllowed;
+            return UnavailableReason::NoneAllowed;
         }
         let rule = self.placement.rule;
         let filters = [Some(&rule.wanted), rule.otherwise.as_ref()];
         let is_of_version =
             |member: &&Member| filters.into_iter().flatten().any(|f| f.allows(&member.version));
         let members = self.allowed(true).filter(is_of_version);
-        let lacks: Option<Vec<_>> =
-            members.map(|member| place_lack(self.known.place(self.now, member))).collect();
-        let soonest = lacks.into_iter().flatten().min_by_key(|(at, _)| *at);
-        soonest.map_or(Lack::NoneUsable, |(_, lack)| lack)
+        let reasons: Option<Vec<_>> =
+            members.map(|member| quota_reason(self.known.place(self.now, member))).collect();
+        let soonest = reasons.into_iter().flatten().min_by_key(|(at, _)| *at);
+        soonest.map_or(UnavailableReason::NoneUsable, |(_, unavailable_reason)| unavailable_reason)
     }
 
     /// The upstreams of the service to which operators let anything be sent.
@@ -250,11 +250,11 @@
 }
 
 /// What an upstream without a place makes of a request, and when that ends.
-fn place_lack(place: SendQuota) -> Option<(MonoTime, Lack)> {
+fn quota_reason(place: SendQuota) -> Option<(MonoTime, UnavailableReason)> {
     match place {
         SendQuota::Unbounded | SendQuota::Free => None,
-        SendQuota::FreeAt(at) => Some((at, Lack::NoPlace(at))),
-        SendQuota::OthersUntil(at) => Some((at, Lack::PlacesOfOthers(at))),
+        SendQuota::FreeAt(at) => Some((at, UnavailableReason::NoQuotaUntil(at))),
+        SendQuota::OthersUntil(at) => Some((at, UnavailableReason::PeersHoldQuotaUntil(at))),
     }
 }
 
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -50,8 +50,8 @@
 
 pub(crate) use counts::UpstreamCounts;
 pub(crate) use placement::Chosen;
-pub(crate) use placement::Lack;
 pub(crate) use placement::Placement;
+pub(crate) use placement::UnavailableReason;
 pub(crate) use work::WorkGuard;
 
 use crate::control_store::Change;
@@ -242,8 +242,12 @@
     }
 
     /// Why there is no upstream for a request.
-    pub(crate) fn lack(&self, now: MonoTime, placement: &Placement<'_>) -> Lack {
-        self.choice(&self.known.lock(), now, placement).lack()
+    pub(crate) fn unavailable_reason(
+        &self,
+        now: MonoTime,
+        placement: &Placement<'_>,
+    ) -> UnavailableReason {
+        self.choice(&self.known.lock(), now, placement).unavailable_reason()
     }
 
     fn choice<'a>(
--- a/crates/gateway/src/upstreams/placement.rs
+++ b/crates/gateway/src/upstreams/placement.rs
@@ -39,13 +39,13 @@
 
 /// Why there is no upstream for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Lack {
+pub(crate) enum UnavailableReason {
     /// None is listed, or those that are cannot take it: that may change at any moment.
     NoneUsable,
     /// Those that may be used take no more than they get, and have no place for this entry before then.
-    NoPlace(MonoTime),
+    NoQuotaUntil(MonoTime),
     /// Other entries send them what they take until then.
-    PlacesOfOthers(MonoTime),
+    PeersHoldQuotaUntil(MonoTime),
     /// There are some, to which nothing may be sent until operators say otherwise.
     NoneAllowed,
 }
