--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -28,13 +28,13 @@
 
 /// What this entry has learnt lately.
 pub(super) fn own_limits(state: &GatewayState) -> Vec<LimitNews> {
-    messages(state.upstreams.named_limits(state.now()))
+    messages(state.upstreams.limit_updates(state.now()))
 }
 
 /// All limits that hold, for an entry that starts: an upstream with nothing to do is its best choice
 /// until it has heard of the limit.
 pub(super) fn all_limits(state: &GatewayState) -> Vec<LimitNews> {
-    messages(state.upstreams.all_named_limits(state.now()))
+    messages(state.upstreams.startup_limit_updates(state.now()))
 }
 
 fn messages(limits: Vec<(UpstreamKey, LimitUpdate)>) -> Vec<LimitNews> {
@@ -76,7 +76,7 @@
                 let age = Duration::from_millis(u64::from(news.age_ms));
                 let told = LimitUpdate { limit, age };
                 let upstream = UpstreamKey(news.upstream);
-                let is_other = state.upstreams.told_limit(state.now(), upstream, told);
+                let is_other = state.upstreams.apply_limit_update(state.now(), upstream, told);
                 if is_other && state.decisions.admits(state.now()) {
                     log::info!(upstream = upstream.0, limit:? = limit; "told of an upstream's limit");
                 }
--- a/crates/gateway/src/peers/standings.rs
+++ b/crates/gateway/src/peers/standings.rs
@@ -18,7 +18,7 @@
 
 /// What this entry knows.
 pub(super) fn own_standings(state: &GatewayState) -> Vec<StandingNews> {
-    let standings = state.upstreams.standings(state.now());
+    let standings = state.upstreams.health_updates(state.now());
     let message = |(key, told): (UpstreamKey, HealthUpdate)| {
         let (is_over, left) = match told {
             HealthUpdate::Over(left) => (true, left),
@@ -39,7 +39,7 @@
         (UpstreamKey(news.upstream), told)
     };
     let told: HashMap<_, _> = told.iter().take(MAX_TOLD).map(standing).collect();
-    for start in state.upstreams.told_standings(state.now(), &told) {
+    for start in state.upstreams.apply_health_updates(state.now(), &told) {
         state.confirm_termination(&start);
     }
 }
--- a/crates/gateway/src/peers/work_news.rs
+++ b/crates/gateway/src/peers/work_news.rs
@@ -162,7 +162,7 @@
 /// Takes in the work that another entry tells.
 pub(super) fn take_work(state: &GatewayState, host: HostId, news: Option<&WorkNews>) {
     if let Some(news) = news {
-        state.upstreams.told_fleet_work(state.now(), host, news.work());
+        state.upstreams.apply_fleet_work(state.now(), host, news.work());
     }
 }
 
--- a/crates/gateway/src/upstreams/news.rs
+++ b/crates/gateway/src/upstreams/news.rs
@@ -17,7 +17,7 @@
 
 impl Upstreams {
     /// What other entries should know of upstreams that are not well.
-    pub(crate) fn standings(&self, now: MonoTime) -> Vec<(UpstreamKey, HealthUpdate)> {
+    pub(crate) fn health_updates(&self, now: MonoTime) -> Vec<(UpstreamKey, HealthUpdate)> {
         let known = self.known.lock();
         let peer_updates = known.health.peer_updates(now);
         peer_updates.map(|(start, told)| (UpstreamKey::of(start), told)).collect()
@@ -25,7 +25,7 @@
 
     /// Another entry tells what it knows of upstreams that are not well. Gives those that are known to be
     /// over since.
-    pub(crate) fn told_standings(
+    pub(crate) fn apply_health_updates(
         &self,
         now: MonoTime,
         told: &HashMap<UpstreamKey, HealthUpdate>,
@@ -49,17 +49,17 @@
     }
 
     /// What other entries should know of limits.
-    pub(crate) fn named_limits(&self, now: MonoTime) -> Vec<(UpstreamKey, LimitUpdate)> {
+    pub(crate) fn limit_updates(&self, now: MonoTime) -> Vec<(UpstreamKey, LimitUpdate)> {
         self.known.lock().limits.peer_updates(now).collect()
     }
 
     /// The same for one that starts.
-    pub(crate) fn all_named_limits(&self, now: MonoTime) -> Vec<(UpstreamKey, LimitUpdate)> {
+    pub(crate) fn startup_limit_updates(&self, now: MonoTime) -> Vec<(UpstreamKey, LimitUpdate)> {
         self.known.lock().limits.startup_peer_updates(now).collect()
     }
 
     /// Another entry tells what it knows of a limit. Says whether that is another one than before.
-    pub(crate) fn told_limit(
+    pub(crate) fn apply_limit_update(
         &self,
         now: MonoTime,
         upstream: UpstreamKey,
@@ -81,7 +81,7 @@
     }
 
     /// Another entry told its work in progress.
-    pub(crate) fn told_fleet_work(
+    pub(crate) fn apply_fleet_work(
         &self,
         now: MonoTime,
         host: HostId,
