--- a/crates/gateway/src/peers/work_news.rs
+++ b/crates/gateway/src/peers/work_news.rs
@@ -64,7 +64,7 @@
 async fn pause_or_urgent(state: &GatewayState, pause: Duration) {
     let urgent = async {
         tokio::select! {
-            () = state.upstreams.found_over() => {}
+            () = state.upstreams.termination_found() => {}
             () = state.fatal.has_news() => {}
         }
         tokio::time::sleep(URGENT_AFTER).await;
--- a/crates/gateway/src/request/broken.rs
+++ b/crates/gateway/src/request/broken.rs
@@ -70,7 +70,7 @@
         if !self.may_be_an_end() {
             return false;
         }
-        if state.upstreams.is_over(state.now(), start) {
+        if state.upstreams.is_terminated(state.now(), start) {
             return true;
         }
         let timeout = Duration::from_millis(state.settings.upstream.connect_timeout_ms);
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -151,7 +151,7 @@
     decisions: DecisionSettings,
     known: Mutex<Known>,
     changed: Notify,
-    found_over: Notify,
+    termination_found: Notify,
 }
 
 impl Upstreams {
@@ -171,7 +171,7 @@
             decisions,
             known: Mutex::new(Known::new(&settings.host.id, bound)),
             changed: Notify::new(),
-            found_over: Notify::new(),
+            termination_found: Notify::new(),
         }
     }
 
@@ -281,12 +281,12 @@
         known.health.observe(now, start, evidence);
         let after = known.health.fitness(now, start);
         drop(known);
-        let is_found_over = before < Fitness::Over && after == Fitness::Over;
-        if is_found_over {
+        let is_newly_terminated = before < Fitness::Over && after == Fitness::Over;
+        if is_newly_terminated {
             log::info!(start:% = start, evidence:? = evidence; "this start of an upstream is over");
-            self.found_over.notify_one();
+            self.termination_found.notify_one();
         }
-        is_found_over
+        is_newly_terminated
     }
 
     /// Whether a start has said that it leaves.
@@ -295,13 +295,13 @@
     }
 
     /// Whether a start is known to be over.
-    pub(crate) fn is_over(&self, now: MonoTime, start: &UpstreamIncarnation) -> bool {
+    pub(crate) fn is_terminated(&self, now: MonoTime, start: &UpstreamIncarnation) -> bool {
         self.known.lock().health.fitness(now, start) == Fitness::Over
     }
 
     /// Waits until a start is found to be over.
-    pub(crate) fn found_over(&self) -> Notified<'_> {
-        self.found_over.notified()
+    pub(crate) fn termination_found(&self) -> Notified<'_> {
+        self.termination_found.notified()
     }
 
     /// Requests in progress at an upstream, as far as it is known.
--- a/crates/gateway/src/upstreams/news.rs
+++ b/crates/gateway/src/upstreams/news.rs
@@ -30,9 +30,9 @@
         now: MonoTime,
         told: &HashMap<UpstreamKey, HealthUpdate>,
     ) -> Vec<UpstreamIncarnation> {
-        let mut found_over = Vec::new();
+        let mut terminated = Vec::new();
         if told.is_empty() {
-            return found_over;
+            return terminated;
         }
         let Known { directory, health, .. } = &mut *self.known.lock();
         for (member, _) in directory.iter() {
@@ -41,11 +41,11 @@
                 let before = health.fitness(now, start);
                 health.apply_peer_update(now, start, *told);
                 if before < Fitness::Over && health.fitness(now, start) == Fitness::Over {
-                    found_over.push(start.clone());
+                    terminated.push(start.clone());
                 }
             }
         }
-        found_over
+        terminated
     }
 
     /// What other entries should know of limits.
