--- a/crates/gateway/src/follow/taking.rs
+++ b/crates/gateway/src/follow/taking.rs
@@ -65,7 +65,7 @@
                 _ => None,
             });
             let now = self.state.now();
-            self.state.upstreams.emptied_zones_are(now, &emptied.collect());
+            self.state.upstreams.set_emptied_zones(now, &emptied.collect());
         }
         changes.into_iter().for_each(|change| self.take(change));
     }
@@ -153,11 +153,11 @@
                     state.confirm_termination(&start);
                 }
             }
-            Change::ZoneEmptied(zone) => state.upstreams.zone_emptied(zone),
+            Change::ZoneEmptied(zone) => state.upstreams.mark_zone_emptied(zone),
             Change::ZoneTakenBack(zone) => {
-                state.upstreams.zone_taken_back(state.now(), &zone);
+                state.upstreams.restore_zone(state.now(), &zone);
             }
-            Change::EntryListed(entry) => state.entry_listed(entry),
+            Change::EntryListed(entry) => state.gateway_listed(entry),
             Change::FatalRequest(stored) => state.fatal.stored(state.now(), &stored),
             Change::FatalRequestGone(request) => {
                 state.fatal.change(|requests| requests.unstored(state.now(), request));
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -292,7 +292,7 @@
         state.suspend_recovery.look();
         let now = state.now();
         state.upstreams.expire(now);
-        state.upstreams.look_at_cold(now);
+        state.upstreams.check_warm_up(now);
         state.metrics.upstreams_are(&state.upstreams.counts(now));
     }
 }
--- a/crates/gateway/src/request/execution/choice.rs
+++ b/crates/gateway/src/request/execution/choice.rs
@@ -82,7 +82,7 @@
     fn take(&self) -> Option<Chosen> {
         let rule = self.version_rule();
         let placement = self.placement(&rule, self.models.chosen(), &self.tried);
-        self.state.upstreams.take(self.state.now(), &placement)
+        self.state.upstreams.acquire(self.state.now(), &placement)
     }
 
     /// Why there is no upstream for the next attempt.
@@ -126,7 +126,7 @@
             prompt: self.call.head.prompt.as_ref(),
             body_bytes: self.call.body.len(),
             tie_seed: xxh3_64(self.call.head.id.as_bytes()),
-            apart_seed: self.apart_seed,
+            isolation_seed: self.isolation_seed,
             allowed_regions: [
                 self.call.route.allowed_regions.as_ref(),
                 self.call.workspace_allowed_regions.as_ref(),
--- a/crates/gateway/src/request/execution/held_back.rs
+++ b/crates/gateway/src/request/execution/held_back.rs
@@ -26,7 +26,7 @@
     /// # Errors
     /// [`GiveUp::HeldBack`] when it is not to be sent; [`GiveUp::Lost`] when it has been sent before.
     pub(super) async fn heed_ends(&mut self) -> Result<(), GiveUp> {
-        self.apart_seed = None;
+        self.isolation_seed = None;
         if !self.state.fatal.is_used() {
             return Ok(());
         }
@@ -47,7 +47,7 @@
                 }
             }
         }
-        self.apart_seed = Some(request.seed());
+        self.isolation_seed = Some(request.seed());
         Ok(())
     }
 
--- a/crates/gateway/src/request/execution/mod.rs
+++ b/crates/gateway/src/request/execution/mod.rs
@@ -60,7 +60,7 @@
     /// The last event that the caller has.
     last_event: Option<u64>,
     /// While it may be what ends upstreams: by which one it is sent to.
-    apart_seed: Option<u64>,
+    isolation_seed: Option<u64>,
     /// It was held back, and is tried again: once.
     trying: Option<Try>,
 }
@@ -83,7 +83,7 @@
             progress,
             failure: None,
             last_event,
-            apart_seed: None,
+            isolation_seed: None,
             trying: None,
             call,
         }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -260,8 +260,8 @@
     }
 
     /// Another entry is listed: what all may do together is divided among more.
-    pub(crate) fn entry_listed(&self, entry: ListedEntry) {
-        self.upstreams.entry_listed(entry.host.clone());
+    pub(crate) fn gateway_listed(&self, entry: ListedEntry) {
+        self.upstreams.gateway_listed(entry.host.clone());
         let entries = {
             let mut peers = self.peers.lock();
             peers.listed(entry);
--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -141,7 +141,7 @@
             let cost_ms = expected_cost_ms(self.config, &request, &facts);
             (cost_ms, hash_of(member, self.placement.tie_seed), facts, member)
         });
-        let chosen = match self.placement.apart_seed {
+        let chosen = match self.placement.isolation_seed {
             Some(seed) => costs.min_by_key(|(.., member)| hash_of(member, seed)),
             None => costs.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))),
         };
--- a/crates/gateway/src/upstreams/cold.rs
+++ b/crates/gateway/src/upstreams/cold.rs
@@ -22,7 +22,7 @@
     }
 
     /// Another entry, or this one, is listed: cold upstreams' requests are divided among all.
-    pub(crate) fn entry_listed(&self, host: HostId) {
+    pub(crate) fn gateway_listed(&self, host: HostId) {
         self.known.lock().fleet.listed(host);
     }
 
@@ -32,7 +32,7 @@
     }
 
     /// Counts the upstreams of each service that are cold; logs where the first one is, or none any more.
-    pub(crate) fn look_at_cold(&self, now: MonoTime) {
+    pub(crate) fn check_warm_up(&self, now: MonoTime) {
         let mut known = self.known.lock();
         known.forget_warm(now);
         let cold = known.count_cold();
--- a/crates/gateway/src/upstreams/emptied_zones.rs
+++ b/crates/gateway/src/upstreams/emptied_zones.rs
@@ -31,19 +31,19 @@
     ///
     /// The platform allows some seconds until then; all of them are left for requests that are on
     /// their way. 160 to 4,300 requests a day arrived in emptied zones before.
-    pub(crate) fn zone_emptied(&self, zone: ZoneName) {
+    pub(crate) fn mark_zone_emptied(&self, zone: ZoneName) {
         self.known.lock().emptied_zones.0.insert(zone);
         self.changed.notify_waiters();
     }
 
     /// The upstreams of a zone may be used again.
-    pub(crate) fn zone_taken_back(&self, now: MonoTime, zone: &ZoneName) {
+    pub(crate) fn restore_zone(&self, now: MonoTime, zone: &ZoneName) {
         self.known.lock().take_back(now, zone);
         self.changed.notify_waiters();
     }
 
     /// All that operators have asked for was read: only these zones are emptied.
-    pub(crate) fn emptied_zones_are(&self, now: MonoTime, emptied: &BTreeSet<ZoneName>) {
+    pub(crate) fn set_emptied_zones(&self, now: MonoTime, emptied: &BTreeSet<ZoneName>) {
         let mut known = self.known.lock();
         let taken_back: Vec<_> = known.emptied_zones.0.difference(emptied).cloned().collect();
         for zone in &taken_back {
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -233,7 +233,7 @@
     }
 
     /// The same, to send the request there.
-    pub(crate) fn take(&self, now: MonoTime, placement: &Placement<'_>) -> Option<Chosen> {
+    pub(crate) fn acquire(&self, now: MonoTime, placement: &Placement<'_>) -> Option<Chosen> {
         let mut known = self.known.lock();
         let chosen = self.choice(&known, now, placement).best()?;
         known.cold.sent(now, &chosen.start);
--- a/crates/gateway/src/upstreams/placement.rs
+++ b/crates/gateway/src/upstreams/placement.rs
@@ -28,7 +28,7 @@
     /// large fleet, all entries must not choose the same one.
     pub(crate) tie_seed: u64,
     /// For a request that may end its upstream: by which one it is sent to, the same at all entries.
-    pub(crate) apart_seed: Option<u64>,
+    pub(crate) isolation_seed: Option<u64>,
     /// Where the request may go, by its route and by its workspace: both bind.
     pub(crate) allowed_regions: [Option<&'a AllowedRegions>; 2],
     /// Upstreams that this request was sent to before.
