--- a/crates/gateway/src/members/directory.rs
+++ b/crates/gateway/src/members/directory.rs
@@ -23,8 +23,8 @@
 
 use super::Member;
 use super::MemberState;
-use super::start_history::StartHistory;
-use super::start_history::Superseded;
+use super::incarnation_history::IncarnationHistory;
+use super::incarnation_history::Superseded;
 
 /// How long an upstream stays known after its entry has gone or says that it is leaving.
 /// The platform allows 2 s; the rest is for a request on its way.
@@ -41,7 +41,7 @@
 
 /// How sure it is that an upstream takes work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Presence {
+pub enum ListingState {
     /// It is listed and ready.
     Listed,
     /// It is leaving or its entry has gone, since this moment.
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 struct Known {
     member: Member,
-    presence: Presence,
+    presence: ListingState,
 }
 
 /// An entry of an earlier start, and since when it has been there.
@@ -72,7 +72,7 @@
     doubted: BTreeMap<InstanceId, Doubted>,
     /// Since when a start has said in its answers that it leaves, and when it did so last.
     said_leaving: HashMap<UpstreamIncarnation, Said>,
-    history: StartHistory,
+    history: IncarnationHistory,
 }
 
 /// Since when an upstream has said something, and when it did so last.
@@ -121,7 +121,7 @@
         }
         let instance = member.start.instance.clone();
         let presence = self.presence(now, &member);
-        if presence == Presence::Listed {
+        if presence == ListingState::Listed {
             self.leaving.remove(&instance);
         } else {
             self.leaving.insert(instance.clone());
@@ -132,23 +132,25 @@
     }
 
     /// How sure it is that an upstream takes work whose entry is believed now.
-    fn presence(&self, now: MonoTime, member: &Member) -> Presence {
+    fn presence(&self, now: MonoTime, member: &Member) -> ListingState {
         // What it has said itself goes before its row, which may be late by as long as the store
         // is away.
         if let Some(said) = self.said_leaving.get(&member.start) {
-            return Presence::Leaving(said.since);
+            return ListingState::Leaving(said.since);
         }
         let known = self.known.get(&member.start.instance);
         let before = known.filter(|known| known.member.start == member.start);
         match (member.state, before.map(|known| known.presence)) {
-            (MemberState::Ready, _) => Presence::Listed,
-            (MemberState::Draining, Some(Presence::Leaving(since))) => Presence::Leaving(since),
-            (MemberState::Draining, _) => Presence::Leaving(now),
+            (MemberState::Ready, _) => ListingState::Listed,
+            (MemberState::Draining, Some(ListingState::Leaving(since))) => {
+                ListingState::Leaving(since)
+            }
+            (MemberState::Draining, _) => ListingState::Leaving(now),
         }
     }
 
     /// A start of an upstream has said in an answer that it leaves. No row takes that back.
-    pub fn says_that_it_leaves(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
+    pub fn record_draining(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
         let said = self.said_leaving.entry(start.clone());
         said.or_insert(Said { since: now, last: now }).last = now;
         if self.is_known(start) {
@@ -164,9 +166,9 @@
 
     fn begins_to_leave(&mut self, now: MonoTime, instance: &InstanceId) {
         if let Some(known) = self.known.get_mut(instance)
-            && known.presence == Presence::Listed
+            && known.presence == ListingState::Listed
         {
-            known.presence = Presence::Leaving(now);
+            known.presence = ListingState::Leaving(now);
             self.leaving.insert(instance.clone());
         }
     }
@@ -221,7 +223,7 @@
 
     fn has_left(&self, now: MonoTime, instance: &InstanceId) -> bool {
         let presence = self.known.get(instance).map(|known| known.presence);
-        matches!(presence, Some(Presence::Leaving(since)) if now.since(since) >= KEPT_AFTER_LEAVING)
+        matches!(presence, Some(ListingState::Leaving(since)) if now.since(since) >= KEPT_AFTER_LEAVING)
     }
 
     /// The upstreams of a service that are listed; those that are leaving only when
@@ -232,9 +234,9 @@
         service: &'a ServiceName,
         with_leaving: bool,
     ) -> impl Iterator<Item = &'a Member> {
-        let is_usable = move |presence: Presence| match presence {
-            Presence::Listed => true,
-            Presence::Leaving(since) => with_leaving && now.since(since) < KEPT_AFTER_LEAVING,
+        let is_usable = move |presence: ListingState| match presence {
+            ListingState::Listed => true,
+            ListingState::Leaving(since) => with_leaving && now.since(since) < KEPT_AFTER_LEAVING,
         };
         let fits = move |k: &&Known| k.member.service == *service && is_usable(k.presence);
         self.known.values().filter(fits).map(|known| &known.member)
@@ -267,7 +269,7 @@
     }
 
     /// All that are known, with how sure it is that they take work.
-    pub fn iter(&self) -> impl Iterator<Item = (&Member, Presence)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Member, ListingState)> {
         self.known.values().map(|known| (&known.member, known.presence))
     }
 }
--- a/crates/gateway/src/members/start_history.rs
+++ b/crates/gateway/src/members/incarnation_history.rs
@@ -60,7 +60,7 @@
 /// An address is that of one process. Where two starts are listed at one, the earlier is over:
 /// the later one would answer each request that is sent to it, and run none.
 #[derive(Debug, Default)]
-pub(super) struct StartHistory {
+pub(super) struct IncarnationHistory {
     /// The latest start of each upstream.
     latest: HashMap<InstanceId, Seen>,
     /// Who has an address.
@@ -70,7 +70,7 @@
     batch: u64,
 }
 
-impl StartHistory {
+impl IncarnationHistory {
     /// What is listed from now on came later than what was listed before.
     pub(super) fn next_batch(&mut self) {
         self.batch += 1;
--- a/crates/gateway/src/members/mod.rs
+++ b/crates/gateway/src/members/mod.rs
@@ -1,11 +1,11 @@
 //! The upstreams that are known, and how they come and go.
 
 mod directory;
+mod incarnation_history;
 mod member;
-mod start_history;
 
 pub use directory::Directory;
-pub use directory::Presence;
+pub use directory::ListingState;
+pub use incarnation_history::Superseded;
 pub use member::Member;
 pub use member::MemberState;
-pub use start_history::Superseded;
--- a/crates/gateway/src/upstreams/emptied_zones.rs
+++ b/crates/gateway/src/upstreams/emptied_zones.rs
@@ -68,7 +68,7 @@
             return;
         }
         for (member, _) in self.directory.iter().filter(|(member, _)| member.zone == *zone) {
-            self.cold.is_back_in_use(now, &member.start);
+            self.cold.mark_back_in_use(now, &member.start);
         }
     }
 }
--- a/crates/gateway/src/upstreams/notices.rs
+++ b/crates/gateway/src/upstreams/notices.rs
@@ -25,7 +25,7 @@
             known.cold.record_report(now, start, ReportedCold::For(cold));
         }
         if upstream_report.is_leaving {
-            known.directory.says_that_it_leaves(now, start);
+            known.directory.record_draining(now, start);
         }
         if let Some(rest) = upstream_report.rest {
             known.rests.asked(now, start, rest);
--- a/crates/policy/src/cold/record.rs
+++ b/crates/policy/src/cold/record.rs
@@ -52,7 +52,7 @@
         self.back_in_use = None;
     }
 
-    pub(super) fn is_back_in_use(&mut self, now: MonoTime) {
+    pub(super) fn mark_back_in_use(&mut self, now: MonoTime) {
         self.back_in_use = Some(now);
     }
 
--- a/crates/policy/src/cold/upstreams.rs
+++ b/crates/policy/src/cold/upstreams.rs
@@ -59,9 +59,9 @@
     }
 
     /// Operators have taken an upstream back into use, for which it may have turned cold.
-    pub fn is_back_in_use(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
+    pub fn mark_back_in_use(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
         if self.bound.is_some() {
-            self.by_start.entry(start.clone()).or_insert_with(Record::warm).is_back_in_use(now);
+            self.by_start.entry(start.clone()).or_insert_with(Record::warm).mark_back_in_use(now);
         }
     }
 
--- a/tests/all/decisions/cold.rs
+++ b/tests/all/decisions/cold.rs
@@ -119,10 +119,10 @@
 fn one_that_is_taken_back_into_use_may_have_turned_cold() {
     let mut entry = entry(0, 1);
     entry.cold.record_report(at(0), &start("i-1"), ReportedCold::For(Duration::ZERO));
-    entry.cold.is_back_in_use(at(9_000), &start("i-1"));
+    entry.cold.mark_back_in_use(at(9_000), &start("i-1"));
     assert_eq!(place(&entry, 11_999), SendQuota::Free);
     assert_eq!(place(&entry, 12_000), SendQuota::Unbounded);
-    entry.cold.is_back_in_use(at(20_000), &start("i-1"));
+    entry.cold.mark_back_in_use(at(20_000), &start("i-1"));
     entry.cold.record_report(at(20_100), &start("i-1"), ReportedCold::For(Duration::ZERO));
     assert_eq!(place(&entry, 20_100), SendQuota::Unbounded);
 }
--- a/tests/all/decisions/directory.rs
+++ b/tests/all/decisions/directory.rs
@@ -242,7 +242,7 @@
 fn that_says_it_leaves(name: &str) -> Directory {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), ready(name));
-    directory.says_that_it_leaves(at_ms(100), &start(name));
+    directory.record_draining(at_ms(100), &start(name));
     directory
 }
 
@@ -257,7 +257,7 @@
 #[test]
 fn each_further_word_of_it_counts_from_the_first() {
     let mut directory = that_says_it_leaves("a");
-    directory.says_that_it_leaves(at_ms(1_300), &start("a"));
+    directory.record_draining(at_ms(1_300), &start("a"));
     assert_eq!(names(&directory, 1_400, true), Vec::<String>::new());
 }
 
@@ -297,14 +297,14 @@
     let mut directory = that_says_it_leaves("a@17");
     directory.listed(at_ms(4_900), ready("a@18"));
     assert_eq!(names(&directory, 5_000, false), ["a@18"]);
-    directory.says_that_it_leaves(at_ms(5_100), &start("a@17"));
+    directory.record_draining(at_ms(5_100), &start("a@17"));
     assert_eq!(names(&directory, 5_200, false), ["a@18"]);
 }
 
 #[test]
 fn that_it_leaves_is_forgotten_long_after_its_last_word() {
     let mut directory = that_says_it_leaves("a");
-    directory.says_that_it_leaves(at_ms(1_000), &start("a"));
+    directory.record_draining(at_ms(1_000), &start("a"));
     directory.expire(at_ms(600_999));
     directory.listed(at_ms(600_999), ready("a"));
     assert_eq!(names(&directory, 600_999, true), Vec::<String>::new());
@@ -341,7 +341,7 @@
 );
 superseded!(
     as_planned_after_it_said_so_itself,
-    |directory| directory.says_that_it_leaves(at_ms(100), &start("a@17")),
+    |directory| directory.record_draining(at_ms(100), &start("a@17")),
     in_place_of("a", "b@18"),
     true
 );
