--- a/benches/support/cold_world.rs
+++ b/benches/support/cold_world.rs
@@ -132,10 +132,10 @@
         for (n, host) in hosts.iter().enumerate() {
             let mut fleet = Fleet::new(host);
             // Those that were there first know each other.
-            hosts[joining..].iter().for_each(|other| fleet.listed(other.clone()));
+            hosts[joining..].iter().for_each(|other| fleet.add_gateway(other.clone()));
             if n < joining {
                 fleet.announce_self(at(joined_s[n]));
-                fleet.listed(host.clone());
+                fleet.add_gateway(host.clone());
             }
             let weight = weight(n, setting.uneven);
             let hears_s = RETURN_S + rng.random_range(0.0..=setting.news_s);
@@ -164,7 +164,7 @@
             for entry in &mut self.entries {
                 let heard_s = joined_s + self.rng.random_range(0.0..=self.setting.news_s);
                 if heard_s <= RETURN_S + COLD_S / 2.0 {
-                    entry.fleet.listed(newcomer.clone());
+                    entry.fleet.add_gateway(newcomer.clone());
                 }
             }
         }
@@ -207,7 +207,7 @@
         let way_s = ON_THE_WAY_S + if held_up { HELD_UP_S } else { 0.0 };
         self.came[upstream].push((now_s, now_s + way_s));
         self.known[upstream].push_back(now_s);
-        self.entries[number].cold.sent(at(now_s), &self.starts[upstream]);
+        self.entries[number].cold.record_sent(at(now_s), &self.starts[upstream]);
     }
 
     fn hear(&mut self, now_s: f64, number: usize) {
--- a/benches/support/limits_world.rs
+++ b/benches/support/limits_world.rs
@@ -118,7 +118,7 @@
         for (n, host) in hosts.iter().enumerate() {
             let mut fleet = Fleet::new(host);
             let known = if way == Way::Alone { &hosts[n..=n] } else { &hosts[..] };
-            known.iter().for_each(|other| fleet.listed(other.clone()));
+            known.iter().for_each(|other| fleet.add_gateway(other.clone()));
             let weight = weight(n, setting.uneven);
             let hears_s = NAMED_S + rng.random_range(0.0..=NEWS_S);
             let limits = NamedLimits::default();
@@ -174,7 +174,7 @@
         self.came[upstream].push(now_s + way_s);
         self.known[upstream].push_back(now_s);
         self.used[upstream].1 += 1;
-        self.entries[number].limits.sent(at(now_s), &self.starts[upstream]);
+        self.entries[number].limits.record_sent(at(now_s), &self.starts[upstream]);
     }
 
     fn hear(&mut self, now_s: f64, number: usize) {
--- a/crates/gateway/src/upstreams/cold.rs
+++ b/crates/gateway/src/upstreams/cold.rs
@@ -23,7 +23,7 @@
 
     /// Another entry, or this one, is listed: cold upstreams' requests are divided among all.
     pub(crate) fn gateway_listed(&self, host: HostId) {
-        self.known.lock().fleet.listed(host);
+        self.known.lock().fleet.add_gateway(host);
     }
 
     /// This entry is about to list itself.
@@ -66,13 +66,13 @@
             })
         };
         let warm: HashSet<UpstreamIncarnation> =
-            self.cold.starts().filter(is_warm).cloned().collect();
+            self.cold.incarnations().filter(is_warm).cloned().collect();
         self.cold.retain(|start| !warm.contains(start));
     }
 
     fn count_cold(&self) -> BTreeMap<ServiceName, usize> {
         let mut counts = BTreeMap::new();
-        for member in self.cold.starts().filter_map(|start| self.directory.member(start)) {
+        for member in self.cold.incarnations().filter_map(|start| self.directory.member(start)) {
             *counts.entry(member.service.clone()).or_default() += 1;
         }
         counts
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -179,7 +179,7 @@
     pub(crate) fn replace(&self, now: MonoTime, members: Vec<Member>) -> Vec<UpstreamIncarnation> {
         let mut known = self.known.lock();
         for member in &members {
-            known.cold.read(now, &member.start, member.cold);
+            known.cold.record_row(now, &member.start, member.cold);
         }
         let superseded = known.directory.replace(now, members);
         let ended = known.are_over(now, superseded);
@@ -236,8 +236,8 @@
     pub(crate) fn acquire(&self, now: MonoTime, placement: &Placement<'_>) -> Option<Chosen> {
         let mut known = self.known.lock();
         let chosen = self.choice(&known, now, placement).best()?;
-        known.cold.sent(now, &chosen.start);
-        known.limits.sent(now, &chosen.start);
+        known.cold.record_sent(now, &chosen.start);
+        known.limits.record_sent(now, &chosen.start);
         Some(chosen)
     }
 
--- a/crates/policy/src/cold/record.rs
+++ b/crates/policy/src/cold/record.rs
@@ -73,7 +73,7 @@
     }
 
     /// A request is sent.
-    pub(super) fn sent(&mut self, now: MonoTime) {
-        self.sent.sent(now, WINDOW);
+    pub(super) fn record_sent(&mut self, now: MonoTime) {
+        self.sent.record_sent(now, WINDOW);
     }
 }
--- a/crates/policy/src/cold/upstreams.rs
+++ b/crates/policy/src/cold/upstreams.rs
@@ -51,7 +51,7 @@
 
     /// An upstream's entry was read, which may be older than what was known: the same words as
     /// before do not make it cold once more.
-    pub fn read(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: ReportedCold) {
+    pub fn record_row(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: ReportedCold) {
         let known = self.by_start.get(start).map(Record::last_told);
         if known != Some(told) {
             self.record_report(now, start, told);
@@ -96,14 +96,14 @@
     }
 
     /// A request is sent to an upstream.
-    pub fn sent(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
+    pub fn record_sent(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
         if let Some(record) = self.by_start.get_mut(start) {
-            record.sent(now);
+            record.record_sent(now);
         }
     }
 
     /// Those that may be cold.
-    pub fn starts(&self) -> impl Iterator<Item = &UpstreamIncarnation> {
+    pub fn incarnations(&self) -> impl Iterator<Item = &UpstreamIncarnation> {
         self.by_start.keys()
     }
 
--- a/crates/policy/src/fleet_bound/fleet.rs
+++ b/crates/policy/src/fleet_bound/fleet.rs
@@ -44,7 +44,7 @@
     }
 
     /// An entry is listed.
-    pub fn listed(&mut self, host: HostId) {
+    pub fn add_gateway(&mut self, host: HostId) {
         let hash = hash_of(&host);
         if self.entries.insert(host, hash).is_none() {
             self.generation += 1;
--- a/crates/policy/src/fleet_bound/sent.rs
+++ b/crates/policy/src/fleet_bound/sent.rs
@@ -11,7 +11,7 @@
 
 impl SentTimes {
     /// A request is sent. Forgets those that were sent before a window.
-    pub(crate) fn sent(&mut self, now: MonoTime, window: Duration) {
+    pub(crate) fn record_sent(&mut self, now: MonoTime, window: Duration) {
         while self.0.front().is_some_and(|first| now.since(*first) >= window) {
             self.0.pop_front();
         }
--- a/crates/policy/src/named_limits/record.rs
+++ b/crates/policy/src/named_limits/record.rs
@@ -112,9 +112,9 @@
         self.as_of
     }
 
-    pub(super) fn sent(&mut self, now: MonoTime) {
+    pub(super) fn record_sent(&mut self, now: MonoTime) {
         let window = self.limit.map_or(LONGEST_WINDOW, |limit| allowance(limit).1);
-        self.sent.sent(now, window);
+        self.sent.record_sent(now, window);
         self.last_sent = Some(now);
     }
 
--- a/crates/policy/src/named_limits/upstreams.rs
+++ b/crates/policy/src/named_limits/upstreams.rs
@@ -106,9 +106,9 @@
     }
 
     /// A request is sent to an upstream.
-    pub fn sent(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
+    pub fn record_sent(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
         if let Some(record) = self.by_upstream.get_mut(&UpstreamKey::of(start)) {
-            record.sent(now);
+            record.record_sent(now);
         }
     }
 
--- a/tests/all/decisions/cold.rs
+++ b/tests/all/decisions/cold.rs
@@ -48,7 +48,7 @@
     /// One that knows so many entries.
     fn knowing(number: usize, entries: usize) -> Self {
         let mut fleet = Fleet::new(&host(number));
-        (0..entries).for_each(|other| fleet.listed(host(other)));
+        (0..entries).for_each(|other| fleet.add_gateway(host(other)));
         Self { cold: ColdUpstreams::new(Some(BOUND)), fleet }
     }
 
@@ -109,7 +109,7 @@
     let mut entry = entry(0, 1);
     let told = ReportedCold::For(Duration::from_millis(2_500));
     entry.cold.record_report(at(0), &start("i-1"), told);
-    entry.cold.read(at(2_000), &start("i-1"), told);
+    entry.cold.record_row(at(2_000), &start("i-1"), told);
     assert_eq!(place(&entry, 2_500), SendQuota::Unbounded);
     entry.cold.record_report(at(5_000), &start("i-1"), told);
     assert_eq!(place(&entry, 5_000), SendQuota::Free);
@@ -141,7 +141,7 @@
     entry.cold.record_report(at(0), &start("i-1"), ReportedCold::Unsaid);
     for _ in 0..28 {
         assert_eq!(place(&entry, 100), SendQuota::Free);
-        entry.cold.sent(at(100), &start("i-1"));
+        entry.cold.record_sent(at(100), &start("i-1"));
     }
     assert_eq!(place(&entry, 100), SendQuota::FreeAt(at(1_200)));
     assert_eq!(place(&entry, 1_200), SendQuota::Free);
@@ -154,10 +154,10 @@
     entry.cold.record_report(at(0), &start("i-1"), ReportedCold::For(Duration::from_secs(20)));
     let others = SendQuota::OthersUntil(at(20_000));
     assert_eq!(place(&entry, 100), others);
-    (0..3).for_each(|other| entry.fleet.listed(host(other)));
+    (0..3).for_each(|other| entry.fleet.add_gateway(host(other)));
     assert_eq!(place(&entry, 100), others);
     entry.fleet.announce_self(at(200));
-    entry.fleet.listed(host(7));
+    entry.fleet.add_gateway(host(7));
     assert_eq!(place(&entry, 3_199), others);
     assert_eq!(place(&entry, 3_200), SendQuota::Free);
 }
@@ -189,7 +189,7 @@
         entry.cold.record_report(at(0), &start, ReportedCold::Unsaid);
         let mut sent = 0;
         while entry.place(at(1), &start) == SendQuota::Free {
-            entry.cold.sent(at(1), &start);
+            entry.cold.record_sent(at(1), &start);
             sent += 1;
         }
         sent
@@ -250,7 +250,7 @@
         for gap_ms in gaps_ms {
             now_ms += gap_ms;
             if place(&entry, now_ms) == SendQuota::Free {
-                entry.cold.sent(at(now_ms), &start("i-1"));
+                entry.cold.record_sent(at(now_ms), &start("i-1"));
                 sent.push(at(now_ms));
             }
         }
--- a/tests/all/decisions/named_limits.rs
+++ b/tests/all/decisions/named_limits.rs
@@ -47,7 +47,7 @@
 impl Entry {
     fn of(number: usize, entries: usize) -> Self {
         let mut fleet = Fleet::new(&host(number));
-        (0..entries).for_each(|other| fleet.listed(host(other)));
+        (0..entries).for_each(|other| fleet.add_gateway(host(other)));
         Self { limits: NamedLimits::default(), fleet }
     }
 
@@ -78,7 +78,7 @@
     fn send_all(&mut self, ms: u64) -> usize {
         let mut sent = 0;
         while self.place(ms) == SendQuota::Free {
-            self.limits.sent(at(ms), &start());
+            self.limits.record_sent(at(ms), &start());
             sent += 1;
         }
         sent
@@ -215,7 +215,7 @@
         for entry in &mut entries {
             let is_asking = matches!(entry.place(ms), SendQuota::Free);
             if is_asking {
-                entry.limits.sent(at(ms), &start());
+                entry.limits.record_sent(at(ms), &start());
                 sent.push(ms);
             }
         }
@@ -278,7 +278,7 @@
 #[test]
 fn an_entry_that_is_not_listed_asks_last() {
     let mut fleet = Fleet::new(&host(99));
-    (0..3).for_each(|other| fleet.listed(host(other)));
+    (0..3).for_each(|other| fleet.add_gateway(host(other)));
     let mut entry = Entry { limits: NamedLimits::default(), fleet };
     entry.names(0, 0, 2.2);
     assert_eq!(entry.send_all(QUIET_MS - 1), 0);
@@ -352,7 +352,7 @@
         now_ms += gap_ms;
         let entry = &mut fleet[n % entries];
         if entry.place(now_ms) == SendQuota::Free {
-            entry.limits.sent(at(now_ms), &start());
+            entry.limits.record_sent(at(now_ms), &start());
             entry.names(now_ms, now_ms, per_s);
             sent.push(now_ms);
         }
