--- a/crates/gateway/src/peers/work_news.rs
+++ b/crates/gateway/src/peers/work_news.rs
@@ -64,7 +64,7 @@
 async fn pause_or_urgent(state: &GatewayState, pause: Duration) {
     let urgent = async {
         tokio::select! {
-            () = state.upstreams.found_over() => {}
+            () = state.upstreams.termination_found() => {}
             () = state.fatal.updates_available() => {}
         }
         tokio::time::sleep(URGENT_AFTER).await;
@@ -162,7 +162,7 @@
 /// Takes in the work that another entry tells.
 pub(super) fn take_work(state: &GatewayState, host: HostId, news: Option<&WorkNews>) {
     if let Some(news) = news {
-        state.upstreams.told_fleet_work(state.now(), host, news.work());
+        state.upstreams.apply_fleet_work(state.now(), host, news.work());
     }
 }
 
--- a/crates/gateway/src/upstreams/cold.rs
+++ b/crates/gateway/src/upstreams/cold.rs
@@ -22,8 +22,8 @@
     }
 
     /// Another entry, or this one, is listed: cold upstreams' requests are divided among all.
-    pub(crate) fn entry_listed(&self, host: HostId) {
-        self.known.lock().fleet.listed(host);
+    pub(crate) fn gateway_listed(&self, host: HostId) {
+        self.known.lock().fleet.add_gateway(host);
     }
 
     /// This entry is about to list itself.
@@ -32,7 +32,7 @@
     }
 
     /// Counts the upstreams of each service that are cold; logs where the first one is, or none any more.
-    pub(crate) fn look_at_cold(&self, now: MonoTime) {
+    pub(crate) fn check_warm_up(&self, now: MonoTime) {
         let mut known = self.known.lock();
         known.forget_warm(now);
         let cold = known.count_cold();
@@ -66,13 +66,13 @@
             })
         };
         let warm: HashSet<UpstreamIncarnation> =
-            self.cold.starts().filter(is_warm).cloned().collect();
+            self.cold.incarnations().filter(is_warm).cloned().collect();
         self.cold.retain(|start| !warm.contains(start));
     }
 
     fn count_cold(&self) -> BTreeMap<ServiceName, usize> {
         let mut counts = BTreeMap::new();
-        for member in self.cold.starts().filter_map(|start| self.directory.member(start)) {
+        for member in self.cold.incarnations().filter_map(|start| self.directory.member(start)) {
             *counts.entry(member.service.clone()).or_default() += 1;
         }
         counts
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -23,7 +23,6 @@
 use stallhoist_core::ServiceName;
 use stallhoist_core::UpstreamIncarnation;
 use stallhoist_core::ZoneName;
-use stallhoist_policy::asked_rests::AskedRests;
 use stallhoist_policy::balance::BalanceConfig;
 use stallhoist_policy::balance::CandidateFacts;
 use stallhoist_policy::balance::Evidence;
@@ -43,6 +42,7 @@
 use stallhoist_policy::fleet_bound::Fleet;
 use stallhoist_policy::fleet_bound::SendQuota;
 use stallhoist_policy::named_limits::NamedLimits;
+use stallhoist_policy::requested_backoffs::RequestedBackoffs;
 use stallhoist_settings::DecisionSettings;
 use stallhoist_settings::GatewaySettings;
 use tokio::sync::Notify;
@@ -50,8 +50,8 @@
 
 pub(crate) use counts::UpstreamCounts;
 pub(crate) use placement::Chosen;
-pub(crate) use placement::Lack;
 pub(crate) use placement::Placement;
+pub(crate) use placement::UnavailableReason;
 pub(crate) use work::WorkGuard;
 
 use crate::control_store::Change;
@@ -79,7 +79,7 @@
     fleet: Fleet,
     cold: ColdUpstreams,
     limits: NamedLimits,
-    rests: AskedRests,
+    rests: RequestedBackoffs,
     /// What upstreams of each service bear while they are cold.
     cold_services: HashMap<ServiceName, ColdService>,
     /// How many of each service were cold when it was looked at last.
@@ -107,7 +107,7 @@
             fleet: Fleet::new(own),
             cold: ColdUpstreams::new(bound),
             limits: NamedLimits::default(),
-            rests: AskedRests::default(),
+            rests: RequestedBackoffs::default(),
             cold_services: HashMap::new(),
             cold_counts: BTreeMap::new(),
         }
@@ -151,7 +151,7 @@
     decisions: DecisionSettings,
     known: Mutex<Known>,
     changed: Notify,
-    found_over: Notify,
+    termination_found: Notify,
 }
 
 impl Upstreams {
@@ -171,7 +171,7 @@
             decisions,
             known: Mutex::new(Known::new(&settings.host.id, bound)),
             changed: Notify::new(),
-            found_over: Notify::new(),
+            termination_found: Notify::new(),
         }
     }
 
@@ -179,7 +179,7 @@
     pub(crate) fn replace(&self, now: MonoTime, members: Vec<Member>) -> Vec<UpstreamIncarnation> {
         let mut known = self.known.lock();
         for member in &members {
-            known.cold.read(now, &member.start, member.cold);
+            known.cold.record_row(now, &member.start, member.cold);
         }
         let superseded = known.directory.replace(now, members);
         let ended = known.are_over(now, superseded);
@@ -233,17 +233,21 @@
     }
 
     /// The same, to send the request there.
-    pub(crate) fn take(&self, now: MonoTime, placement: &Placement<'_>) -> Option<Chosen> {
+    pub(crate) fn acquire(&self, now: MonoTime, placement: &Placement<'_>) -> Option<Chosen> {
         let mut known = self.known.lock();
         let chosen = self.choice(&known, now, placement).best()?;
-        known.cold.sent(now, &chosen.start);
-        known.limits.sent(now, &chosen.start);
+        known.cold.record_sent(now, &chosen.start);
+        known.limits.record_sent(now, &chosen.start);
         Some(chosen)
     }
 
     /// Why there is no upstream for a request.
-    pub(crate) fn lack(&self, now: MonoTime, placement: &Placement<'_>) -> Lack {
-        self.choice(&self.known.lock(), now, placement).lack()
+    pub(crate) fn unavailable_reason(
+        &self,
+        now: MonoTime,
+        placement: &Placement<'_>,
+    ) -> UnavailableReason {
+        self.choice(&self.known.lock(), now, placement).unavailable_reason()
     }
 
     fn choice<'a>(
@@ -277,12 +281,12 @@
         known.health.observe(now, start, evidence);
         let after = known.health.fitness(now, start);
         drop(known);
-        let is_found_over = before < Fitness::Over && after == Fitness::Over;
-        if is_found_over {
+        let is_newly_terminated = before < Fitness::Over && after == Fitness::Over;
+        if is_newly_terminated {
             log::info!(start:% = start, evidence:? = evidence; "this start of an upstream is over");
-            self.found_over.notify_one();
+            self.termination_found.notify_one();
         }
-        is_found_over
+        is_newly_terminated
     }
 
     /// Whether a start has said that it leaves.
@@ -291,13 +295,13 @@
     }
 
     /// Whether a start is known to be over.
-    pub(crate) fn is_over(&self, now: MonoTime, start: &UpstreamIncarnation) -> bool {
+    pub(crate) fn is_terminated(&self, now: MonoTime, start: &UpstreamIncarnation) -> bool {
         self.known.lock().health.fitness(now, start) == Fitness::Over
     }
 
     /// Waits until a start is found to be over.
-    pub(crate) fn found_over(&self) -> Notified<'_> {
-        self.found_over.notified()
+    pub(crate) fn termination_found(&self) -> Notified<'_> {
+        self.termination_found.notified()
     }
 
     /// Requests in progress at an upstream, as far as it is known.
--- a/crates/gateway/src/upstreams/placement.rs
+++ b/crates/gateway/src/upstreams/placement.rs
@@ -28,7 +28,7 @@
     /// large fleet, all entries must not choose the same one.
     pub(crate) tie_seed: u64,
     /// For a request that may end its upstream: by which one it is sent to, the same at all entries.
-    pub(crate) apart_seed: Option<u64>,
+    pub(crate) isolation_seed: Option<u64>,
     /// Where the request may go, by its route and by its workspace: both bind.
     pub(crate) allowed_regions: [Option<&'a AllowedRegions>; 2],
     /// Upstreams that this request was sent to before.
@@ -39,13 +39,13 @@
 
 /// Why there is no upstream for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Lack {
+pub(crate) enum UnavailableReason {
     /// None is listed, or those that are cannot take it: that may change at any moment.
     NoneUsable,
     /// Those that may be used take no more than they get, and have no place for this entry before then.
-    NoPlace(MonoTime),
+    NoQuotaUntil(MonoTime),
     /// Other entries send them what they take until then.
-    PlacesOfOthers(MonoTime),
+    PeersHoldQuotaUntil(MonoTime),
     /// There are some, to which nothing may be sent until operators say otherwise.
     NoneAllowed,
 }
--- a/crates/policy/src/cold/record.rs
+++ b/crates/policy/src/cold/record.rs
@@ -52,7 +52,7 @@
         self.back_in_use = None;
     }
 
-    pub(super) fn is_back_in_use(&mut self, now: MonoTime) {
+    pub(super) fn mark_back_in_use(&mut self, now: MonoTime) {
         self.back_in_use = Some(now);
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// A request is sent.
-    pub(super) fn sent(&mut self, now: MonoTime) {
-        self.sent.sent(now, WINDOW);
+    pub(super) fn record_sent(&mut self, now: MonoTime) {
+        self.sent.record_sent(now, WINDOW);
     }
 }
