--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -27,7 +27,7 @@
 use stallhoist_policy::balance::BalanceConfig;
 use stallhoist_policy::balance::CandidateFacts;
 use stallhoist_policy::balance::Evidence;
-use stallhoist_policy::balance::FirstPart;
+use stallhoist_policy::balance::FirstChunk;
 use stallhoist_policy::balance::Fitness;
 use stallhoist_policy::balance::FleetWork;
 use stallhoist_policy::balance::HealthConfig;
@@ -342,7 +342,7 @@
         if !self.decisions.learns_speeds {
             return;
         }
-        let first_part = FirstPart {
+        let first_part = FirstChunk {
             unread_tokens: chosen.unread_tokens,
             other_ms: chosen.other_ms,
             took_ms: took.as_secs_f64() * 1e3,
--- a/crates/policy/src/balance/mod.rs
+++ b/crates/policy/src/balance/mod.rs
@@ -34,6 +34,6 @@
 pub use load::ReportedLoad;
 pub use load::UpstreamLoad;
 pub use prefix_caches::PrefixCaches;
-pub use reading_speeds::FirstPart;
+pub use reading_speeds::FirstChunk;
 pub use reading_speeds::ReadingSpeeds;
 pub use reading_speeds::ReadingTime;
--- a/crates/policy/src/balance/reading_speeds.rs
+++ b/crates/policy/src/balance/reading_speeds.rs
@@ -63,7 +63,7 @@
 
 /// The time to the first part of one answer, and what it was spent on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FirstPart {
+pub struct FirstChunk {
     /// Tokens of the prompt that the engine was believed to have to read.
     pub unread_tokens: u64,
     /// The time that all else was expected to take.
@@ -108,9 +108,9 @@
         service: &ServiceName,
         model: &ModelName,
         start_pace: f64,
-        first_part: FirstPart,
+        first_part: FirstChunk,
     ) {
-        let FirstPart { unread_tokens, other_ms, took_ms } = first_part;
+        let FirstChunk { unread_tokens, other_ms, took_ms } = first_part;
         let known = self.time(service, model, start_pace);
         let expected_ms = known.base_ms + known.of_tokens_ms(unread_tokens);
         let is_finite = other_ms.is_finite() && took_ms.is_finite();
--- a/tests/all/decisions/reading_speeds.rs
+++ b/tests/all/decisions/reading_speeds.rs
@@ -5,7 +5,7 @@
 use rand::rngs::StdRng;
 use stallhoist_core::ModelName;
 use stallhoist_core::ServiceName;
-use stallhoist_policy::balance::FirstPart;
+use stallhoist_policy::balance::FirstChunk;
 use stallhoist_policy::balance::ReadingSpeeds;
 
 fn service() -> ServiceName {
@@ -31,7 +31,7 @@
         Self { ms_per_token, rng: StdRng::seed_from_u64(seed) }
     }
 
-    fn first_part(&mut self) -> FirstPart {
+    fn first_part(&mut self) -> FirstChunk {
         let is_short = self.rng.random_bool(0.5);
         let longest = if is_short { 1_500 } else { 20_000 };
         let unread_tokens = self.rng.random_range(0..longest);
@@ -40,7 +40,7 @@
         let scatter = self.rng.random_range(0.7..1.3);
         let unknown_ms = if self.rng.random_bool(0.1) { 2_000.0 } else { 0.0 };
         let own_ms = (BASE_MS + reading_ms) * scatter;
-        FirstPart { unread_tokens, other_ms, took_ms: own_ms + other_ms + unknown_ms }
+        FirstChunk { unread_tokens, other_ms, took_ms: own_ms + other_ms + unknown_ms }
     }
 }
 
@@ -122,14 +122,14 @@
     };
 }
 
-ignored!(no_number, FirstPart { unread_tokens: 5_000, other_ms: 0.0, took_ms: f64::NAN });
+ignored!(no_number, FirstChunk { unread_tokens: 5_000, other_ms: 0.0, took_ms: f64::NAN });
 ignored!(
     an_infinite_time,
-    FirstPart { unread_tokens: 5_000, other_ms: 0.0, took_ms: f64::INFINITY }
+    FirstChunk { unread_tokens: 5_000, other_ms: 0.0, took_ms: f64::INFINITY }
 );
-ignored!(a_negative_time, FirstPart { unread_tokens: 5_000, other_ms: 0.0, took_ms: -1e9 });
-ignored!(a_week, FirstPart { unread_tokens: 5_000, other_ms: 0.0, took_ms: 6e8 });
-ignored!(all_tokens_there_are, FirstPart { unread_tokens: u64::MAX, other_ms: 0.0, took_ms: 1.0 });
+ignored!(a_negative_time, FirstChunk { unread_tokens: 5_000, other_ms: 0.0, took_ms: -1e9 });
+ignored!(a_week, FirstChunk { unread_tokens: 5_000, other_ms: 0.0, took_ms: 6e8 });
+ignored!(all_tokens_there_are, FirstChunk { unread_tokens: u64::MAX, other_ms: 0.0, took_ms: 1.0 });
 
 #[test]
 fn a_prompt_of_absurd_length_takes_a_bounded_time() {
