--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -10,9 +10,9 @@
 use stallhoist_measure::FakeRequest;
 use stallhoist_policy::balance::BalanceConfig;
 use stallhoist_policy::balance::CandidateFacts;
+use stallhoist_policy::balance::PrefillTime;
 use stallhoist_policy::balance::PrefillWork;
 use stallhoist_policy::balance::PrefixCaches;
-use stallhoist_policy::balance::ReadingTime;
 use stallhoist_policy::balance::RequestFacts;
 use stallhoist_policy::balance::UpstreamLoad;
 use stallhoist_policy::balance::expected_cost_ms;
@@ -51,7 +51,7 @@
     pub(crate) fn send(&mut self, now: MonoTime, request: &FakeRequest) -> (usize, PrefillWork) {
         let facts = RequestFacts {
             prompt_tokens: request.prompt_tokens,
-            reading: ReadingTime { base_ms: 0.0, ms_per_token: MS_PER_TOKEN },
+            reading: PrefillTime { base_ms: 0.0, ms_per_token: MS_PER_TOKEN },
             body_bytes: 0,
         };
         let parts = parts(request);
--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -7,8 +7,8 @@
 use stallhoist_policy::balance::BalanceConfig;
 use stallhoist_policy::balance::CandidateFacts;
 use stallhoist_policy::balance::Fitness;
+use stallhoist_policy::balance::PrefillTime;
 use stallhoist_policy::balance::PrefillWork;
-use stallhoist_policy::balance::ReadingTime;
 use stallhoist_policy::balance::RequestFacts;
 use stallhoist_policy::balance::expected_cost_ms;
 use stallhoist_policy::balance::other_ms;
@@ -180,10 +180,10 @@
     }
 
     /// How long the chosen model takes; a call without a model, no time that is known.
-    fn reading_time(&self) -> ReadingTime {
+    fn reading_time(&self) -> PrefillTime {
         let Placement { service, model, start_pace, .. } = *self.placement;
         let time = |model| self.known.speeds.time(service, model, start_pace);
-        model.map_or_else(ReadingTime::default, time)
+        model.map_or_else(PrefillTime::default, time)
     }
 
     fn facts(&self, member: &Member, is_home: bool) -> CandidateFacts {
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -31,8 +31,8 @@
 use stallhoist_policy::balance::Fitness;
 use stallhoist_policy::balance::FleetWork;
 use stallhoist_policy::balance::HealthConfig;
+use stallhoist_policy::balance::PrefillSpeeds;
 use stallhoist_policy::balance::PrefixCaches;
-use stallhoist_policy::balance::ReadingSpeeds;
 use stallhoist_policy::balance::UpstreamHealth;
 use stallhoist_policy::balance::UpstreamKey;
 use stallhoist_policy::balance::UpstreamLoad;
@@ -73,7 +73,7 @@
     fleet_work: FleetWork,
     health: UpstreamHealth,
     prefix_caches: PrefixCaches,
-    speeds: ReadingSpeeds,
+    speeds: PrefillSpeeds,
     emptied_zones: EmptiedZones,
     /// The entries among which what upstreams take is divided.
     fleet: Fleet,
@@ -102,7 +102,7 @@
             fleet_work: FleetWork::default(),
             health: UpstreamHealth::new(HealthConfig::default()),
             prefix_caches: PrefixCaches::default(),
-            speeds: ReadingSpeeds::default(),
+            speeds: PrefillSpeeds::default(),
             emptied_zones: EmptiedZones::default(),
             fleet: Fleet::new(own),
             cold: ColdUpstreams::new(bound),
--- a/crates/gateway/src/upstreams/summary.rs
+++ b/crates/gateway/src/upstreams/summary.rs
@@ -1,7 +1,7 @@
 //! What the state dump says of upstreams.
 
 use stallhoist_core::MonoTime;
-use stallhoist_policy::balance::ReadingTime;
+use stallhoist_policy::balance::PrefillTime;
 use stallhoist_policy::balance::UpstreamKey;
 
 use super::Upstreams;
@@ -11,8 +11,8 @@
     /// One line for each model whose speed is known, for the state dump.
     pub(crate) fn speeds_summary(&self) -> Vec<String> {
         let known = self.known.lock();
-        let line = |(service, model, time): (_, _, ReadingTime)| {
-            let ReadingTime { base_ms, ms_per_token } = time;
+        let line = |(service, model, time): (_, _, PrefillTime)| {
+            let PrefillTime { base_ms, ms_per_token } = time;
             format!("{service} {model} {base_ms:.1} ms and {ms_per_token:.5} ms a prompt token")
         };
         let mut lines: Vec<_> = known.speeds.iter().map(line).collect();
--- a/crates/policy/src/balance/cost.rs
+++ b/crates/policy/src/balance/cost.rs
@@ -1,7 +1,7 @@
 //! What sending a request to an upstream is expected to cost, in milliseconds.
 
 use super::BalanceConfig;
-use super::ReadingTime;
+use super::PrefillTime;
 
 /// What is known of an upstream that may take a request.
 #[derive(Debug, Clone, Copy, Default)]
@@ -26,7 +26,7 @@
     /// The length of its prompt; zero for a call to a plain service.
     pub prompt_tokens: u64,
     /// How long an engine takes to read it with the chosen model.
-    pub reading: ReadingTime,
+    pub reading: PrefillTime,
     /// The bytes to be sent.
     pub body_bytes: usize,
 }
--- a/crates/policy/src/balance/reading_speeds.rs
+++ b/crates/policy/src/balance/prefill_speeds.rs
@@ -39,14 +39,14 @@
 
 /// How long an engine takes for the first part of an answer, with nothing else to do.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct ReadingTime {
+pub struct PrefillTime {
     /// The part that does not depend on the prompt, in milliseconds.
     pub base_ms: f64,
     /// The part of each token of the prompt that it has not read before, in milliseconds.
     pub ms_per_token: f64,
 }
 
-impl ReadingTime {
+impl PrefillTime {
     /// The time to read so many tokens.
     pub fn of_tokens_ms(&self, tokens: u64) -> f64 {
         (tokens as f64 * self.ms_per_token).min(MAX_READING_MS)
@@ -77,7 +77,7 @@
 struct Rate {
     start_ms_per_token: f64,
     answers: u32,
-    time: ReadingTime,
+    time: PrefillTime,
 }
 
 /// How long engines take for the first part of an answer, by service and model.
@@ -85,14 +85,14 @@
 /// The versions of a service share one estimate, so that a new one starts from what is
 /// known of the others.
 #[derive(Debug, Default)]
-pub struct ReadingSpeeds {
+pub struct PrefillSpeeds {
     by_service: HashMap<ServiceName, HashMap<ModelName, Rate>>,
 }
 
-impl ReadingSpeeds {
+impl PrefillSpeeds {
     /// The time that a model takes. `start_pace` is the model's pace as a part of the slowest
     /// one's, as far as it can be told beforehand; it counts until the model has answered.
-    pub fn time(&self, service: &ServiceName, model: &ModelName, start_pace: f64) -> ReadingTime {
+    pub fn time(&self, service: &ServiceName, model: &ModelName, start_pace: f64) -> PrefillTime {
         let rates = self.by_service.get(service);
         match rates.and_then(|rates| rates.get(model)) {
             Some(rate) => rate.time,
@@ -130,7 +130,7 @@
     }
 
     /// The times known, for the state dump.
-    pub fn iter(&self) -> impl Iterator<Item = (&ServiceName, &ModelName, ReadingTime)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&ServiceName, &ModelName, PrefillTime)> {
         self.by_service.iter().flat_map(|(service, rates)| {
             rates.iter().map(move |(model, rate)| (service, model, rate.time))
         })
@@ -138,12 +138,12 @@
 
     /// For a model that has not answered yet: what its pace lets expect, corrected by as much
     /// as the other models of the service are off on average.
-    fn start(&self, service: &ServiceName, start_pace: f64) -> ReadingTime {
+    fn start(&self, service: &ServiceName, start_pace: f64) -> PrefillTime {
         let rates = self.by_service.get(service).into_iter().flat_map(HashMap::values);
         let offs: Vec<f64> =
             rates.map(|rate| (rate.time.ms_per_token / rate.start_ms_per_token).ln()).collect();
         let mean = offs.iter().sum::<f64>() / offs.len().max(1) as f64;
         let ms_per_token = start_pace * START_MS_PER_TOKEN;
-        ReadingTime { base_ms: START_BASE_MS, ms_per_token }.scaled(1.0, mean.exp())
+        PrefillTime { base_ms: START_BASE_MS, ms_per_token }.scaled(1.0, mean.exp())
     }
 }
--- a/tests/all/decisions/balance.rs
+++ b/tests/all/decisions/balance.rs
@@ -9,9 +9,9 @@
 use stallhoist_policy::balance::Evidence;
 use stallhoist_policy::balance::Fitness;
 use stallhoist_policy::balance::HealthConfig;
+use stallhoist_policy::balance::PrefillTime;
 use stallhoist_policy::balance::PrefillWork;
 use stallhoist_policy::balance::PrefixCaches;
-use stallhoist_policy::balance::ReadingTime;
 use stallhoist_policy::balance::ReportedLoad;
 use stallhoist_policy::balance::RequestFacts;
 use stallhoist_policy::balance::UpstreamHealth;
@@ -147,7 +147,7 @@
         #[test]
         fn $name() {
             let config = BalanceConfig::default();
-            let reading = ReadingTime { base_ms: 20.0, ms_per_token: 0.025 };
+            let reading = PrefillTime { base_ms: 20.0, ms_per_token: 0.025 };
             let request = RequestFacts { prompt_tokens: 4_000, reading, body_bytes: 4_000 };
             let usual = CandidateFacts { slots: 8, is_same_zone: true, ..Default::default() };
             let first: fn(CandidateFacts) -> CandidateFacts = $first;
--- a/tests/all/decisions/mod.rs
+++ b/tests/all/decisions/mod.rs
@@ -14,7 +14,7 @@
 mod packing;
 mod peers;
 mod planned_stop;
-mod reading_speeds;
+mod prefill_speeds;
 mod request_progress;
 mod rollout_eras;
 mod rollout_evidence;
--- a/tests/all/decisions/reading_speeds.rs
+++ b/tests/all/decisions/prefill_speeds.rs
@@ -6,7 +6,7 @@
 use stallhoist_core::ModelName;
 use stallhoist_core::ServiceName;
 use stallhoist_policy::balance::FirstChunk;
-use stallhoist_policy::balance::ReadingSpeeds;
+use stallhoist_policy::balance::PrefillSpeeds;
 
 fn service() -> ServiceName {
     "service".parse().expect("a name")
@@ -44,7 +44,7 @@
     }
 }
 
-fn observe(speeds: &mut ReadingSpeeds, engine: &mut Engine, answers: usize) {
+fn observe(speeds: &mut PrefillSpeeds, engine: &mut Engine, answers: usize) {
     for _ in 0..answers {
         speeds.observe(&service(), &model("m"), 1.0, engine.first_part());
     }
@@ -57,7 +57,7 @@
         #[test]
         fn $name() {
             for seed in 0..20 {
-                let mut speeds = ReadingSpeeds::default();
+                let mut speeds = PrefillSpeeds::default();
                 let mut engine = Engine::new($ms_per_token, seed);
                 observe(&mut speeds, &mut engine, $answers);
                 let off = speeds.time(&service(), &model("m"), 1.0).ms_per_token / $ms_per_token;
@@ -76,7 +76,7 @@
 
 #[test]
 fn what_short_prompts_take_is_not_taken_for_reading() {
-    let mut speeds = ReadingSpeeds::default();
+    let mut speeds = PrefillSpeeds::default();
     observe(&mut speeds, &mut Engine::new(0.01, 1), 500);
     let time = speeds.time(&service(), &model("m"), 1.0);
     assert!((35.0..75.0).contains(&time.base_ms), "{time:?}");
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_change_of_speed_is_followed() {
-    let mut speeds = ReadingSpeeds::default();
+    let mut speeds = PrefillSpeeds::default();
     observe(&mut speeds, &mut Engine::new(0.02, 1), 500);
     observe(&mut speeds, &mut Engine::new(0.06, 2), 30);
     let slower = speeds.time(&service(), &model("m"), 1.0).ms_per_token;
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_model_that_has_not_answered_starts_from_the_others() {
-    let mut speeds = ReadingSpeeds::default();
+    let mut speeds = PrefillSpeeds::default();
     let before = speeds.time(&service(), &model("other"), 0.5).ms_per_token;
     let mut engine = Engine::new(0.12, 1);
     for _ in 0..300 {
@@ -112,7 +112,7 @@
     ($name:ident, $first_part:expr) => {
         #[test]
         fn $name() {
-            let mut speeds = ReadingSpeeds::default();
+            let mut speeds = PrefillSpeeds::default();
             for _ in 0..1_000 {
                 speeds.observe(&service(), &model("m"), 1.0, $first_part);
             }
@@ -133,6 +133,6 @@
 
 #[test]
 fn a_prompt_of_absurd_length_takes_a_bounded_time() {
-    let time = ReadingSpeeds::default().time(&service(), &model("m"), 1.0);
+    let time = PrefillSpeeds::default().time(&service(), &model("m"), 1.0);
     assert_eq!(time.of_tokens_ms(u64::MAX), 600_000.0);
 }
