--- a/crates/gateway/src/peers/messages.rs
+++ b/crates/gateway/src/peers/messages.rs
@@ -158,7 +158,7 @@
     pub(super) requests: u32,
     /// How long the upstream is expected to read their prompts.
     #[prost(uint32, tag = "3")]
-    pub(super) reading_ms: u32,
+    pub(super) prefill_ms: u32,
 }
 
 /// A session that stays on the version that answered it.
--- a/crates/gateway/src/peers/work_news.rs
+++ b/crates/gateway/src/peers/work_news.rs
@@ -171,14 +171,14 @@
         let on = |(key, work): (&UpstreamKey, &WorkInProgress)| WorkOn {
             upstream: key.0,
             requests: work.requests,
-            reading_ms: work.reading_ms,
+            prefill_ms: work.prefill_ms,
         };
         Self { on: work.iter().map(on).collect() }
     }
 
     fn work(&self) -> impl Iterator<Item = (UpstreamKey, WorkInProgress)> {
         self.on.iter().map(|on| {
-            let work = WorkInProgress { requests: on.requests, reading_ms: on.reading_ms };
+            let work = WorkInProgress { requests: on.requests, prefill_ms: on.prefill_ms };
             (UpstreamKey(on.upstream), work)
         })
     }
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -137,7 +137,7 @@
         KnownWork {
             in_progress: self.load.in_progress(now, start, others.requests),
             remaining_prefill_ms: self.load.remaining_prefill_ms(start)
-                + f64::from(others.reading_ms),
+                + f64::from(others.prefill_ms),
         }
     }
 }
--- a/crates/policy/src/balance/fleet_work.rs
+++ b/crates/policy/src/balance/fleet_work.rs
@@ -39,7 +39,7 @@
     /// Requests in progress.
     pub requests: u32,
     /// How long it is expected to read their prompts, in milliseconds.
-    pub reading_ms: u32,
+    pub prefill_ms: u32,
 }
 
 impl WorkInProgress {
@@ -48,21 +48,21 @@
     pub fn plus(self, other: Self) -> Self {
         Self {
             requests: self.requests.saturating_add(other.requests),
-            reading_ms: self.reading_ms.saturating_add(other.reading_ms),
+            prefill_ms: self.prefill_ms.saturating_add(other.prefill_ms),
         }
     }
 
     fn minus(self, other: Self) -> Self {
         Self {
             requests: self.requests.saturating_sub(other.requests),
-            reading_ms: self.reading_ms.saturating_sub(other.reading_ms),
+            prefill_ms: self.prefill_ms.saturating_sub(other.prefill_ms),
         }
     }
 
     fn bounded(self) -> Self {
         Self {
             requests: self.requests.min(MAX_REQUESTS),
-            reading_ms: self.reading_ms.min(MAX_READING_MS),
+            prefill_ms: self.prefill_ms.min(MAX_READING_MS),
         }
     }
 }
--- a/crates/policy/src/balance/load.rs
+++ b/crates/policy/src/balance/load.rs
@@ -98,8 +98,8 @@
     pub fn own_work(&self) -> impl Iterator<Item = (UpstreamKey, WorkInProgress)> {
         let busy = self.by_start.iter().filter(|(_, load)| load.in_progress > 0);
         busy.map(|(start, load)| {
-            let reading_ms = load.remaining_prefill_ms.round() as u32;
-            let work = WorkInProgress { requests: load.in_progress, reading_ms };
+            let prefill_ms = load.remaining_prefill_ms.round() as u32;
+            let work = WorkInProgress { requests: load.in_progress, prefill_ms };
             (UpstreamKey::of(start), work)
         })
     }
--- a/tests/all/decisions/fleet_work.rs
+++ b/tests/all/decisions/fleet_work.rs
@@ -18,8 +18,8 @@
     UpstreamKey::of(&instance)
 }
 
-fn work(requests: u32, reading_ms: u32) -> WorkInProgress {
-    WorkInProgress { requests, reading_ms }
+fn work(requests: u32, prefill_ms: u32) -> WorkInProgress {
+    WorkInProgress { requests, prefill_ms }
 }
 
 #[test]
@@ -75,7 +75,7 @@
             fleet.apply_peer_update(at_ms(0), host(1), $told);
             fleet.apply_peer_update(at_ms(0), host(2), [(upstream(1), work(1, 1))]);
             let believed = fleet.on(upstream(1));
-            assert!(believed.requests <= 10_001 && believed.reading_ms <= 60_001, "{believed:?}");
+            assert!(believed.requests <= 10_001 && believed.prefill_ms <= 60_001, "{believed:?}");
             fleet.apply_peer_update(at_ms(1), host(1), []);
             assert_eq!(fleet.on(upstream(1)), work(1, 1));
         }
--- a/tests/all/decisions/prefill_speeds.rs
+++ b/tests/all/decisions/prefill_speeds.rs
@@ -36,10 +36,10 @@
         let longest = if is_short { 1_500 } else { 20_000 };
         let unread_tokens = self.rng.random_range(0..longest);
         let other_ms = self.rng.random_range(0.0..100.0);
-        let reading_ms = unread_tokens as f64 * self.ms_per_token;
+        let prefill_ms = unread_tokens as f64 * self.ms_per_token;
         let scatter = self.rng.random_range(0.7..1.3);
         let unknown_ms = if self.rng.random_bool(0.1) { 2_000.0 } else { 0.0 };
-        let own_ms = (BASE_MS + reading_ms) * scatter;
+        let own_ms = (BASE_MS + prefill_ms) * scatter;
         FirstChunk { unread_tokens, other_ms, took_ms: own_ms + other_ms + unknown_ms }
     }
 }
