--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -13,7 +13,7 @@
 use stallhoist_policy::balance::expected_cost_ms;
 use stallhoist_policy::balance::other_ms;
 use stallhoist_policy::balance::other_zone_cost_ms;
-use stallhoist_policy::balance::own_reading_ms;
+use stallhoist_policy::balance::uncached_prefill_ms;
 use stallhoist_policy::fleet_bound::SlotAvailability;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -150,7 +150,7 @@
             start: member.start.clone(),
             addr: member.addr,
             version: member.version.clone(),
-            work: PrefillWork { remaining_prefill_ms: own_reading_ms(&request, &facts) },
+            work: PrefillWork { remaining_prefill_ms: uncached_prefill_ms(&request, &facts) },
             unread_tokens: request.prompt_tokens.saturating_sub(facts.read_tokens),
             base_ms: request.reading.base_ms,
             other_ms: other_ms(self.config, &facts),
--- a/crates/policy/src/balance/cost.rs
+++ b/crates/policy/src/balance/cost.rs
@@ -37,12 +37,12 @@
     request: &RequestFacts,
     candidate: &CandidateFacts,
 ) -> f64 {
-    let own_ms = own_reading_ms(request, candidate);
+    let own_ms = uncached_prefill_ms(request, candidate);
     request.reading.base_ms + own_ms + other_ms(config, candidate)
 }
 
 /// How long the engine reads this request's own prompt, what it has read before left out.
-pub fn own_reading_ms(request: &RequestFacts, candidate: &CandidateFacts) -> f64 {
+pub fn uncached_prefill_ms(request: &RequestFacts, candidate: &CandidateFacts) -> f64 {
     let tokens = request.prompt_tokens.saturating_sub(candidate.read_tokens);
     request.reading.of_tokens_ms(tokens)
 }
@@ -61,7 +61,7 @@
 ) -> f64 {
     let zone_ms =
         if candidate.is_same_zone { 0.0 } else { other_zone_cost_ms(config, request.body_bytes) };
-    let others_ms = config.held_up_by_reading * own_reading_ms(request, candidate);
+    let others_ms = config.held_up_by_reading * uncached_prefill_ms(request, candidate);
     expected_wait_ms(config, request, candidate)
         + others_ms
         + zone_ms
--- a/crates/policy/src/balance/mod.rs
+++ b/crates/policy/src/balance/mod.rs
@@ -19,7 +19,7 @@
 pub use cost::expected_wait_ms;
 pub use cost::other_ms;
 pub use cost::other_zone_cost_ms;
-pub use cost::own_reading_ms;
+pub use cost::uncached_prefill_ms;
 pub use fleet_work::FleetWork;
 pub use fleet_work::UpstreamKey;
 pub use fleet_work::WorkByUpstream;
