--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -64,7 +64,7 @@
         let best = costs.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let best = best.map_or(0, |(.., at)| at);
         let instance = &self.instances[best];
-        let read = self.prefixes.read_tokens(now, instance, &self.model, &parts);
+        let read = self.prefixes.cached_tokens(now, instance, &self.model, &parts);
         let unread = request.prompt_tokens.saturating_sub(read);
         let work = PrefillWork { remaining_prefill_ms: unread as f64 * MS_PER_TOKEN };
         self.load.started(instance, work);
@@ -88,7 +88,7 @@
             in_progress: self.load.in_progress(now, instance, 0),
             slots: SLOTS,
             remaining_prefill_ms: self.load.remaining_prefill_ms(instance),
-            read_tokens: self.prefixes.read_tokens(now, instance, &self.model, parts),
+            cached_tokens: self.prefixes.cached_tokens(now, instance, &self.model, parts),
             is_same_zone: true,
             failure_rate: 0.0,
         }
--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -151,7 +151,7 @@
             addr: member.addr,
             version: member.version.clone(),
             work: PrefillWork { remaining_prefill_ms: uncached_prefill_ms(&request, &facts) },
-            unread_tokens: request.prompt_tokens.saturating_sub(facts.read_tokens),
+            unread_tokens: request.prompt_tokens.saturating_sub(facts.cached_tokens),
             base_ms: request.reading.base_ms,
             other_ms: other_ms(self.config, &facts),
         })
@@ -189,10 +189,10 @@
     fn facts(&self, member: &Member, is_home: bool) -> CandidateFacts {
         let Self { known, now, placement, .. } = *self;
         let start = &member.start;
-        let read_tokens = match (placement.model, placement.prompt) {
+        let cached_tokens = match (placement.model, placement.prompt) {
             (Some(model), Some(prompt)) => {
                 let shared = prompt.shared_parts();
-                let known = known.prefix_caches.read_tokens(now, start, model, shared);
+                let known = known.prefix_caches.cached_tokens(now, start, model, shared);
                 if is_home { known.max(likely_read_tokens(shared)) } else { known }
             }
             _ => 0,
@@ -202,7 +202,7 @@
             in_progress: work.in_progress,
             slots: member.slots,
             remaining_prefill_ms: work.remaining_prefill_ms,
-            read_tokens,
+            cached_tokens,
             is_same_zone: member.zone == *self.own_zone,
             failure_rate: known.health.failure_rate(now, start),
         }
--- a/crates/policy/src/balance/cost.rs
+++ b/crates/policy/src/balance/cost.rs
@@ -13,7 +13,7 @@
     /// The time that it still has to read prompts of other requests, in milliseconds.
     pub remaining_prefill_ms: f64,
     /// Tokens of this request's prompt that it has read before.
-    pub read_tokens: u64,
+    pub cached_tokens: u64,
     /// Whether it is in the entry's own availability zone.
     pub is_same_zone: bool,
     /// The share of its answers that failed lately, from 0 to 1.
@@ -43,7 +43,7 @@
 
 /// How long the engine reads this request's own prompt, what it has read before left out.
 pub fn uncached_prefill_ms(request: &RequestFacts, candidate: &CandidateFacts) -> f64 {
-    let tokens = request.prompt_tokens.saturating_sub(candidate.read_tokens);
+    let tokens = request.prompt_tokens.saturating_sub(candidate.cached_tokens);
     request.reading.of_tokens_ms(tokens)
 }
 
--- a/crates/policy/src/balance/prefix_caches.rs
+++ b/crates/policy/src/balance/prefix_caches.rs
@@ -56,7 +56,7 @@
     }
 
     /// How many leading tokens of these parts an upstream is believed to have read.
-    pub fn read_tokens(
+    pub fn cached_tokens(
         &self,
         now: MonoTime,
         start: &UpstreamIncarnation,
--- a/tests/all/decisions/balance.rs
+++ b/tests/all/decisions/balance.rs
@@ -102,7 +102,7 @@
     let (a, model): (_, ModelName) = (start("a"), "m".parse().expect("a name"));
     let parts = [part(1, u64::MAX), part(2, u64::MAX)];
     caches.read(at_ms(0), &a, &model, &parts);
-    assert_eq!(caches.read_tokens(at_ms(0), &a, &model, &parts), u64::MAX);
+    assert_eq!(caches.cached_tokens(at_ms(0), &a, &model, &parts), u64::MAX);
 }
 
 #[test]
@@ -110,7 +110,7 @@
     let mut caches = PrefixCaches::default();
     let (a, model): (_, ModelName) = (start("a"), "m".parse().expect("a name"));
     caches.read(at_ms(0), &a, &model, &[part(1, 10), part(3, 30)]);
-    let known = |parts: &[PromptPart]| caches.read_tokens(at_ms(1), &a, &model, parts);
+    let known = |parts: &[PromptPart]| caches.cached_tokens(at_ms(1), &a, &model, parts);
     assert_eq!(known(&[part(1, 10), part(2, 20), part(3, 30)]), 10);
     assert_eq!(known(&[part(1, 10), part(3, 30)]), 40);
     assert_eq!(known(&[part(2, 20), part(1, 10)]), 0);
@@ -122,9 +122,9 @@
     let a = start("a");
     let model = |name: &str| -> ModelName { name.parse().expect("a name") };
     caches.read(at_ms(0), &a, &model("m"), &[part(1, 10)]);
-    assert_eq!(caches.read_tokens(at_ms(1), &a, &model("other"), &[part(1, 10)]), 0);
-    assert_eq!(caches.read_tokens(at_ms(29_999), &a, &model("m"), &[part(1, 10)]), 10);
-    assert_eq!(caches.read_tokens(at_ms(30_000), &a, &model("m"), &[part(1, 10)]), 0);
+    assert_eq!(caches.cached_tokens(at_ms(1), &a, &model("other"), &[part(1, 10)]), 0);
+    assert_eq!(caches.cached_tokens(at_ms(29_999), &a, &model("m"), &[part(1, 10)]), 10);
+    assert_eq!(caches.cached_tokens(at_ms(30_000), &a, &model("m"), &[part(1, 10)]), 0);
 }
 
 #[test]
@@ -135,10 +135,10 @@
         caches.read(at_ms(id / 10), &a, &model, &[part(id, 10)]);
     }
     let kept = (0..40_000)
-        .filter(|id| caches.read_tokens(at_ms(4_000), &a, &model, &[part(*id, 10)]) > 0)
+        .filter(|id| caches.cached_tokens(at_ms(4_000), &a, &model, &[part(*id, 10)]) > 0)
         .count();
     assert!((1..=8_192).contains(&kept), "{kept}");
-    assert_eq!(caches.read_tokens(at_ms(4_000), &a, &model, &[part(39_999, 10)]), 10);
+    assert_eq!(caches.cached_tokens(at_ms(4_000), &a, &model, &[part(39_999, 10)]), 10);
 }
 
 /// The first candidate costs less than the second.
@@ -161,7 +161,7 @@
 cheaper!(the_own_zone, |c| c, |c| CandidateFacts { is_same_zone: false, ..c });
 cheaper!(the_one_with_less_to_do, |c| c, |c| CandidateFacts { in_progress: 3, ..c });
 cheaper!(the_one_with_less_to_read, |c| c, |c| CandidateFacts { remaining_prefill_ms: 12.5, ..c });
-cheaper!(the_one_that_has_read_it, |c| CandidateFacts { read_tokens: 3_000, ..c }, |c| c);
+cheaper!(the_one_that_has_read_it, |c| CandidateFacts { cached_tokens: 3_000, ..c }, |c| c);
 cheaper!(the_one_that_does_not_fail, |c| c, |c| CandidateFacts { failure_rate: 0.3, ..c });
 cheaper!(
     another_zone_rather_than_a_failing_upstream,
