--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -10,9 +10,9 @@
 use stallhoist_policy::balance::PrefillTime;
 use stallhoist_policy::balance::PrefillWork;
 use stallhoist_policy::balance::RequestFacts;
+use stallhoist_policy::balance::cross_zone_cost_ms;
 use stallhoist_policy::balance::expected_cost_ms;
 use stallhoist_policy::balance::other_ms;
-use stallhoist_policy::balance::other_zone_cost_ms;
 use stallhoist_policy::balance::uncached_prefill_ms;
 use stallhoist_policy::fleet_bound::SlotAvailability;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -173,7 +173,7 @@
         let part = shared.last()?;
         let saved_ms = request.reading.of_tokens_ms(likely_read_tokens(shared));
         let is_worth_the_way =
-            self.has_fleet_homes && saved_ms > other_zone_cost_ms(self.config, request.body_bytes);
+            self.has_fleet_homes && saved_ms > cross_zone_cost_ms(self.config, request.body_bytes);
         let eligible =
             members.iter().filter(|member| is_worth_the_way || member.zone == *self.own_zone);
         eligible.min_by_key(|member| hash_of(member, part.id)).map(|member| &member.start)
--- a/crates/policy/src/balance/config.rs
+++ b/crates/policy/src/balance/config.rs
@@ -14,9 +14,9 @@
     /// the requests in progress there, if that is more than 2, was worse by 0.007 than 2.
     pub held_up_by_reading: f64,
     /// What going to another availability zone costs whatever is sent, in milliseconds.
-    pub other_zone_ms: f64,
+    pub cross_zone_ms: f64,
     /// What each kilobyte sent to another availability zone costs, in milliseconds.
-    pub other_zone_ms_per_kb: f64,
+    pub cross_zone_ms_per_kb: f64,
     /// What an upstream that fails every time costs, in milliseconds.
     pub failing_ms: f64,
 }
@@ -27,8 +27,8 @@
             per_running_ms: 4.0,
             service_call_ms: 60.0,
             held_up_by_reading: 8.0,
-            other_zone_ms: 10.0,
-            other_zone_ms_per_kb: 8.0,
+            cross_zone_ms: 10.0,
+            cross_zone_ms_per_kb: 8.0,
             failing_ms: 2_000.0,
         }
     }
--- a/crates/policy/src/balance/cost.rs
+++ b/crates/policy/src/balance/cost.rs
@@ -60,7 +60,7 @@
     candidate: &CandidateFacts,
 ) -> f64 {
     let zone_ms =
-        if candidate.is_same_zone { 0.0 } else { other_zone_cost_ms(config, request.body_bytes) };
+        if candidate.is_same_zone { 0.0 } else { cross_zone_cost_ms(config, request.body_bytes) };
     let others_ms = config.held_up_by_reading * uncached_prefill_ms(request, candidate);
     expected_wait_ms(config, request, candidate)
         + others_ms
@@ -69,8 +69,8 @@
 }
 
 /// What sending so many bytes to another availability zone costs.
-pub fn other_zone_cost_ms(config: &BalanceConfig, body_bytes: usize) -> f64 {
-    config.other_zone_ms + config.other_zone_ms_per_kb * body_bytes as f64 / 1_000.0
+pub fn cross_zone_cost_ms(config: &BalanceConfig, body_bytes: usize) -> f64 {
+    config.cross_zone_ms + config.cross_zone_ms_per_kb * body_bytes as f64 / 1_000.0
 }
 
 /// The time until a place is free, when all are taken.
