--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -29,8 +29,8 @@
 use stallhoist_policy::balance::Evidence;
 use stallhoist_policy::balance::FirstChunk;
 use stallhoist_policy::balance::Fitness;
-use stallhoist_policy::balance::FleetWork;
 use stallhoist_policy::balance::HealthConfig;
+use stallhoist_policy::balance::PeerWork;
 use stallhoist_policy::balance::PrefillSpeeds;
 use stallhoist_policy::balance::PrefixCaches;
 use stallhoist_policy::balance::UpstreamHealth;
@@ -70,7 +70,7 @@
 struct Known {
     directory: Directory,
     load: UpstreamLoad,
-    fleet_work: FleetWork,
+    peer_work: PeerWork,
     health: UpstreamHealth,
     prefix_caches: PrefixCaches,
     speeds: PrefillSpeeds,
@@ -99,7 +99,7 @@
         Self {
             directory: Directory::default(),
             load: UpstreamLoad::default(),
-            fleet_work: FleetWork::default(),
+            peer_work: PeerWork::default(),
             health: UpstreamHealth::new(HealthConfig::default()),
             prefix_caches: PrefixCaches::default(),
             speeds: PrefillSpeeds::default(),
@@ -133,7 +133,7 @@
     }
 
     fn work_on(&self, now: MonoTime, start: &UpstreamIncarnation) -> KnownWork {
-        let others = self.fleet_work.on(UpstreamKey::of(start));
+        let others = self.peer_work.on(UpstreamKey::of(start));
         KnownWork {
             in_progress: self.load.in_progress(now, start, others.requests),
             remaining_prefill_ms: self.load.remaining_prefill_ms(start)
--- a/crates/gateway/src/upstreams/news.rs
+++ b/crates/gateway/src/upstreams/news.rs
@@ -76,7 +76,7 @@
         }
         let known = self.known.lock();
         let mut work = known.load.own_work().collect();
-        known.fleet_work.add_to(&mut work, included);
+        known.peer_work.add_to(&mut work, included);
         work
     }
 
@@ -87,11 +87,11 @@
         host: HostId,
         work: impl IntoIterator<Item = (UpstreamKey, WorkInProgress)>,
     ) {
-        self.known.lock().fleet_work.apply_peer_update(now, host, work);
+        self.known.lock().peer_work.apply_peer_update(now, host, work);
     }
 
     /// Drops what other entries told too long ago.
     pub(crate) fn expire_fleet_work(&self, now: MonoTime) {
-        self.known.lock().fleet_work.expire(now);
+        self.known.lock().peer_work.expire(now);
     }
 }
--- a/crates/gateway/src/upstreams/summary.rs
+++ b/crates/gateway/src/upstreams/summary.rs
@@ -25,7 +25,7 @@
         let known = self.known.lock();
         let line = |(member, presence): (&Member, _)| {
             let start = &member.start;
-            let others = known.fleet_work.on(UpstreamKey::of(start));
+            let others = known.peer_work.on(UpstreamKey::of(start));
             format!(
                 "{start} {} {} {} {} {presence:?} in_progress={} told_by_others={} \
                  failure_rate={:.2} fitness={:?} cold={:?} limit={} place={:?}",
--- a/crates/policy/src/balance/mod.rs
+++ b/crates/policy/src/balance/mod.rs
@@ -6,9 +6,9 @@
 
 mod config;
 mod cost;
-mod fleet_work;
 mod health;
 mod load;
+mod peer_work;
 mod prefill_speeds;
 mod prefix_caches;
 
@@ -20,10 +20,6 @@
 pub use cost::expected_wait_ms;
 pub use cost::other_ms;
 pub use cost::uncached_prefill_ms;
-pub use fleet_work::FleetWork;
-pub use fleet_work::UpstreamKey;
-pub use fleet_work::WorkByUpstream;
-pub use fleet_work::WorkInProgress;
 pub use health::Evidence;
 pub use health::Fitness;
 pub use health::HealthConfig;
@@ -33,6 +29,10 @@
 pub use load::PrefillWork;
 pub use load::ReportedLoad;
 pub use load::UpstreamLoad;
+pub use peer_work::PeerWork;
+pub use peer_work::UpstreamKey;
+pub use peer_work::WorkByUpstream;
+pub use peer_work::WorkInProgress;
 pub use prefill_speeds::FirstChunk;
 pub use prefill_speeds::PrefillSpeeds;
 pub use prefill_speeds::PrefillTime;
--- a/crates/policy/src/balance/fleet_work.rs
+++ b/crates/policy/src/balance/peer_work.rs
@@ -78,12 +78,12 @@
 
 /// The work that other entries have in progress, as each told it last.
 #[derive(Debug, Default)]
-pub struct FleetWork {
+pub struct PeerWork {
     by_host: HashMap<HostId, Told>,
     total: WorkByUpstream,
 }
 
-impl FleetWork {
+impl PeerWork {
     /// An entry tells its work, in place of what it told before.
     pub fn apply_peer_update(
         &mut self,
--- a/tests/all/decisions/fleet_work.rs
+++ b/tests/all/decisions/peer_work.rs
@@ -2,7 +2,7 @@
 
 use stallhoist_core::HostId;
 use stallhoist_core::UpstreamIncarnation;
-use stallhoist_policy::balance::FleetWork;
+use stallhoist_policy::balance::PeerWork;
 use stallhoist_policy::balance::UpstreamKey;
 use stallhoist_policy::balance::WorkByUpstream;
 use stallhoist_policy::balance::WorkInProgress;
@@ -24,7 +24,7 @@
 
 #[test]
 fn the_work_of_all_others_adds_up() {
-    let mut fleet = FleetWork::default();
+    let mut fleet = PeerWork::default();
     fleet.apply_peer_update(at_ms(0), host(1), [(upstream(1), work(2, 300))]);
     fleet.apply_peer_update(
         at_ms(10),
@@ -38,7 +38,7 @@
 
 #[test]
 fn what_an_entry_tells_replaces_what_it_told() {
-    let mut fleet = FleetWork::default();
+    let mut fleet = PeerWork::default();
     fleet.apply_peer_update(at_ms(0), host(1), [(upstream(1), work(2, 300))]);
     fleet.apply_peer_update(at_ms(200), host(1), [(upstream(2), work(1, 10))]);
     assert_eq!(fleet.on(upstream(1)), WorkInProgress::default());
@@ -47,7 +47,7 @@
 
 #[test]
 fn an_entry_that_falls_silent_is_soon_not_believed() {
-    let mut fleet = FleetWork::default();
+    let mut fleet = PeerWork::default();
     fleet.apply_peer_update(at_ms(0), host(1), [(upstream(1), work(2, 300))]);
     fleet.apply_peer_update(at_ms(900), host(2), [(upstream(1), work(1, 100))]);
     fleet.expire(at_ms(999));
@@ -58,7 +58,7 @@
 
 #[test]
 fn the_work_of_some_entries_is_summed() {
-    let mut fleet = FleetWork::default();
+    let mut fleet = PeerWork::default();
     fleet.apply_peer_update(at_ms(0), host(1), [(upstream(1), work(2, 300))]);
     fleet.apply_peer_update(at_ms(0), host(2), [(upstream(1), work(5, 0))]);
     let mut sum = WorkByUpstream::from([(upstream(1), work(1, 1))]);
@@ -71,7 +71,7 @@
     ($name:ident, $told:expr) => {
         #[test]
         fn $name() {
-            let mut fleet = FleetWork::default();
+            let mut fleet = PeerWork::default();
             fleet.apply_peer_update(at_ms(0), host(1), $told);
             fleet.apply_peer_update(at_ms(0), host(2), [(upstream(1), work(1, 1))]);
             let believed = fleet.on(upstream(1));
