--- a/crates/gateway/src/callers/handler.rs
+++ b/crates/gateway/src/callers/handler.rs
@@ -25,9 +25,9 @@
 use crate::dialect::CallHead;
 use crate::metrics::RequestEnd;
 use crate::planned_stop::Work;
+use crate::request::AbandonReason;
 use crate::request::Call;
 use crate::request::Execution;
-use crate::request::GiveUp;
 use crate::request::Outcome;
 use crate::routing::Route;
 use crate::routing::RoutingConfig;
@@ -188,7 +188,7 @@
     match outcome {
         Outcome::Whole(reply) => answer::whole(reply),
         Outcome::Stream(relay) => answer::stream(relay, counted),
-        Outcome::GivenUp(give_up) => given_up(give_up),
+        Outcome::NoResponse(give_up) => given_up(give_up),
     }
 }
 
@@ -199,16 +199,16 @@
             (RequestEnd::UpstreamFailure, "the upstream's failure is passed on".to_owned())
         }
         Outcome::Whole(_) | Outcome::Stream(_) => (RequestEnd::Answered, "answered".to_owned()),
-        Outcome::GivenUp(give_up @ GiveUp::NotRun { .. }) => {
+        Outcome::NoResponse(give_up @ AbandonReason::NotRun { .. }) => {
             (RequestEnd::NotRun, give_up.to_string())
         }
-        Outcome::GivenUp(give_up @ GiveUp::HeldBack { .. }) => {
+        Outcome::NoResponse(give_up @ AbandonReason::HeldBack { .. }) => {
             (RequestEnd::HeldBack, give_up.to_string())
         }
-        Outcome::GivenUp(give_up @ GiveUp::NotAllowed { .. }) => {
+        Outcome::NoResponse(give_up @ AbandonReason::NotAllowed { .. }) => {
             (RequestEnd::NotAllowed, give_up.to_string())
         }
-        Outcome::GivenUp(give_up) => (RequestEnd::Failed, give_up.to_string()),
+        Outcome::NoResponse(give_up) => (RequestEnd::Failed, give_up.to_string()),
     };
     state.metrics.request_ended(end);
     let call = execution.call();
--- a/crates/gateway/src/callers/rejection.rs
+++ b/crates/gateway/src/callers/rejection.rs
@@ -14,7 +14,7 @@
 
 use super::answer::AnswerBody;
 use crate::dialect::CallError;
-use crate::request::GiveUp;
+use crate::request::AbandonReason;
 
 /// Why a request was not forwarded.
 #[derive(Debug, Clone, PartialEq, Eq, Display, thiserror::Error)]
@@ -71,13 +71,13 @@
 }
 
 /// The answer to a request that was given up.
-pub(crate) fn given_up(give_up: GiveUp) -> Response<AnswerBody> {
+pub(crate) fn given_up(give_up: AbandonReason) -> Response<AnswerBody> {
     let status = match give_up {
-        GiveUp::NotRun { .. } | GiveUp::HeldBack { .. } | GiveUp::NotAllowed { .. } => {
-            StatusCode::SERVICE_UNAVAILABLE
-        }
-        GiveUp::Lost => StatusCode::BAD_GATEWAY,
-        GiveUp::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+        AbandonReason::NotRun { .. }
+        | AbandonReason::HeldBack { .. }
+        | AbandonReason::NotAllowed { .. } => StatusCode::SERVICE_UNAVAILABLE,
+        AbandonReason::Lost => StatusCode::BAD_GATEWAY,
+        AbandonReason::TimedOut => StatusCode::GATEWAY_TIMEOUT,
     };
     let mut response = text(status, &give_up.to_string());
     if let Some(retry_after) = give_up.retry_after() {
--- a/crates/gateway/src/request/execution/choice.rs
+++ b/crates/gateway/src/request/execution/choice.rs
@@ -8,8 +8,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::Execution;
+use crate::request::AbandonReason;
 use crate::request::Call;
-use crate::request::GiveUp;
 use crate::rollouts::VersionRule;
 use crate::upstreams::Chosen;
 use crate::upstreams::Lack;
@@ -31,7 +31,7 @@
 
 impl Execution {
     /// The upstream for the next attempt; waits for one if there is none.
-    pub(super) async fn choose(&mut self) -> Result<Chosen, GiveUp> {
+    pub(super) async fn choose(&mut self) -> Result<Chosen, AbandonReason> {
         let until = self.state.now().after(WAIT_FOR_UPSTREAM);
         loop {
             let now = self.state.now();
@@ -88,10 +88,10 @@
     }
 
     /// No place is free before then. What has not run is refused at once.
-    fn refused_until(&self, free_at: MonoTime) -> GiveUp {
+    fn refused_until(&self, free_at: MonoTime) -> AbandonReason {
         match self.give_up() {
-            GiveUp::NotRun { .. } => {
-                GiveUp::NotRun { retry_after: free_at.since(self.state.now()) }
+            AbandonReason::NotRun { .. } => {
+                AbandonReason::NotRun { retry_after: free_at.since(self.state.now()) }
             }
             other => other,
         }
@@ -99,11 +99,11 @@
 
     /// No upstream may be used. What has not run is refused at once: to wait would take the
     /// caller's time in vain.
-    fn not_allowed(&self) -> GiveUp {
+    fn not_allowed(&self) -> AbandonReason {
         if self.progress.may_have_run() {
             return self.give_up();
         }
-        GiveUp::NotAllowed { retry_after: ALLOWED_AFTER }
+        AbandonReason::NotAllowed { retry_after: ALLOWED_AFTER }
     }
 
     fn placement<'a>(
--- a/crates/gateway/src/request/execution/held_back.rs
+++ b/crates/gateway/src/request/execution/held_back.rs
@@ -7,7 +7,7 @@
 
 use super::Execution;
 use crate::fatal::Try;
-use crate::request::GiveUp;
+use crate::request::AbandonReason;
 
 /// When the caller of a request that is held back for good is told to come back: not soon, since
 /// nothing will have changed.
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     /// [`GiveUp::HeldBack`] when it is not to be sent; [`GiveUp::Lost`] when it has been sent before.
-    pub(super) async fn heed_ends(&mut self) -> Result<(), GiveUp> {
+    pub(super) async fn heed_ends(&mut self) -> Result<(), AbandonReason> {
         self.apart_seed = None;
         if !self.state.fatal.is_used() {
             return Ok(());
@@ -51,13 +51,13 @@
         Ok(())
     }
 
-    fn hold_back(&self, due: Option<MonoTime>) -> GiveUp {
+    fn hold_back(&self, due: Option<MonoTime>) -> AbandonReason {
         if self.progress.may_have_run() {
-            return GiveUp::Lost;
+            return AbandonReason::Lost;
         }
         let now = self.state.now();
         let retry_after = due.map_or(NEVER_AFTER, |due| due.since(now).max(UNKNOWN_AFTER));
-        GiveUp::HeldBack { retry_after }
+        AbandonReason::HeldBack { retry_after }
     }
 
     /// The request was answered whole: it does not end what runs it.
--- a/crates/gateway/src/request/execution/mod.rs
+++ b/crates/gateway/src/request/execution/mod.rs
@@ -18,8 +18,8 @@
 
 use crate::fatal::Try;
 use crate::metrics::AttemptResult;
+use crate::request::AbandonReason;
 use crate::request::Call;
-use crate::request::GiveUp;
 use crate::request::Outcome;
 use crate::request::Relay;
 use crate::request::WholeReply;
@@ -121,7 +121,7 @@
             }
             Err(give_up) => match self.failure.take() {
                 Some(failure) => (Outcome::Whole(failure), Some(self)),
-                None => (Outcome::GivenUp(give_up), Some(self)),
+                None => (Outcome::NoResponse(give_up), Some(self)),
             },
         }
     }
@@ -131,19 +131,19 @@
     pub(crate) async fn resume(
         &mut self,
         last_event: Option<u64>,
-    ) -> Result<Box<OpenStream>, GiveUp> {
+    ) -> Result<Box<OpenStream>, AbandonReason> {
         self.last_event = last_event.or(self.last_event);
         if !self.may_retry() {
-            return Err(GiveUp::Lost);
+            return Err(AbandonReason::Lost);
         }
         match self.next_answer().await? {
             Answer::Stream(stream) => Ok(stream),
-            Answer::Whole(_) => Err(GiveUp::Lost),
+            Answer::Whole(_) => Err(AbandonReason::Lost),
         }
     }
 
     /// Makes attempts until one is answered.
-    async fn next_answer(&mut self) -> Result<Answer, GiveUp> {
+    async fn next_answer(&mut self) -> Result<Answer, AbandonReason> {
         loop {
             self.heed_ends().await?;
             let chosen = self.choose().await?;
@@ -171,7 +171,7 @@
         &mut self,
         start: UpstreamIncarnation,
         end: AttemptEnd,
-    ) -> Result<Option<Answer>, GiveUp> {
+    ) -> Result<Option<Answer>, AbandonReason> {
         match end {
             AttemptEnd::NotSent(_) => {
                 self.after_connect_failure(start)?;
@@ -215,7 +215,7 @@
     }
 
     /// No connection came up. This does not count as an attempt.
-    fn after_connect_failure(&mut self, start: UpstreamIncarnation) -> Result<(), GiveUp> {
+    fn after_connect_failure(&mut self, start: UpstreamIncarnation) -> Result<(), AbandonReason> {
         if !self.progress.connect_failed() {
             return Err(self.give_up());
         }
@@ -225,7 +225,7 @@
 
     /// The upstream that was meant was not there: another process turned the request away, which
     /// costs the caller no attempt. The platform counts its arrival all the same.
-    fn after_misdirected(&mut self, start: UpstreamIncarnation) -> Result<(), GiveUp> {
+    fn after_misdirected(&mut self, start: UpstreamIncarnation) -> Result<(), AbandonReason> {
         let has_budget = self.state.retries.lock().take(&self.call.service_name);
         if !has_budget {
             return Err(self.give_up());
@@ -234,7 +234,7 @@
     }
 
     /// An attempt failed that may have run.
-    fn after_failure(&mut self, start: UpstreamIncarnation) -> Result<(), GiveUp> {
+    fn after_failure(&mut self, start: UpstreamIncarnation) -> Result<(), AbandonReason> {
         self.progress.sent();
         self.tried.push(start);
         self.require_another()
@@ -253,7 +253,7 @@
     }
 
     /// Goes on only if another attempt may be made.
-    fn require_another(&mut self) -> Result<(), GiveUp> {
+    fn require_another(&mut self) -> Result<(), AbandonReason> {
         if self.may_retry() {
             // Only one attempt is left: a small model's answer could not be bettered.
             let is_last = self.progress.is_next_the_last() && !self.progress.is_delivered();
@@ -302,11 +302,15 @@
         better.is_in_time()
     }
 
-    fn give_up(&self) -> GiveUp {
+    fn give_up(&self) -> AbandonReason {
         if !self.progress.may_have_run() {
-            return GiveUp::NotRun { retry_after: RETRY_AFTER };
+            return AbandonReason::NotRun { retry_after: RETRY_AFTER };
+        }
+        if self.state.now() >= self.call.deadline {
+            AbandonReason::TimedOut
+        } else {
+            AbandonReason::Lost
         }
-        if self.state.now() >= self.call.deadline { GiveUp::TimedOut } else { GiveUp::Lost }
     }
 
     async fn attempt(&self, chosen: &Chosen) -> AttemptEnd {
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -12,7 +12,7 @@
 pub(crate) use broken::Break;
 pub(crate) use call::Call;
 pub(crate) use execution::Execution;
-pub(crate) use outcome::GiveUp;
+pub(crate) use outcome::AbandonReason;
 pub(crate) use outcome::Outcome;
 pub(crate) use outcome::WholeReply;
 pub(crate) use relay::Relay;
--- a/crates/gateway/src/request/outcome.rs
+++ b/crates/gateway/src/request/outcome.rs
@@ -19,7 +19,7 @@
 
 /// Why a request was given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub(crate) enum GiveUp {
+pub(crate) enum AbandonReason {
     /// nothing has run and nothing will; come back later
     NotRun {
         /// When to come back.
@@ -41,7 +41,7 @@
     TimedOut,
 }
 
-impl GiveUp {
+impl AbandonReason {
     /// When to come back; none where the request may have run.
     pub(crate) fn retry_after(&self) -> Option<Duration> {
         match *self {
@@ -61,5 +61,5 @@
     /// With an upstream's event stream.
     Stream(Box<Relay>),
     /// Without any.
-    GivenUp(GiveUp),
+    NoResponse(AbandonReason),
 }
