--- a/crates/gateway/src/upstreams/news.rs
+++ b/crates/gateway/src/upstreams/news.rs
@@ -75,8 +75,8 @@
             return WorkByUpstream::new();
         }
         let known = self.known.lock();
-        let mut work = known.load.own_work().collect();
-        known.peer_work.add_to(&mut work, included);
+        let mut work = known.load.local_work().collect();
+        known.peer_work.sum_into(&mut work, included);
         work
     }
 
--- a/crates/policy/src/balance/load.rs
+++ b/crates/policy/src/balance/load.rs
@@ -95,7 +95,7 @@
     }
 
     /// This entry's work on each upstream that has any.
-    pub fn own_work(&self) -> impl Iterator<Item = (UpstreamKey, WorkInProgress)> {
+    pub fn local_work(&self) -> impl Iterator<Item = (UpstreamKey, WorkInProgress)> {
         let busy = self.by_start.iter().filter(|(_, load)| load.in_progress > 0);
         busy.map(|(start, load)| {
             let prefill_ms = load.remaining_prefill_ms.round() as u32;
--- a/crates/policy/src/balance/peer_work.rs
+++ b/crates/policy/src/balance/peer_work.rs
@@ -119,7 +119,7 @@
     }
 
     /// Adds what the entries that are `included` have in progress.
-    pub fn add_to(&self, sum: &mut WorkByUpstream, included: impl Fn(&HostId) -> bool) {
+    pub fn sum_into(&self, sum: &mut WorkByUpstream, included: impl Fn(&HostId) -> bool) {
         let told = self.by_host.iter().filter(|(host, _)| included(host));
         for (key, work) in told.flat_map(|(_, told)| &told.work) {
             let total = sum.entry(*key).or_default();
--- a/tests/all/decisions/peer_work.rs
+++ b/tests/all/decisions/peer_work.rs
@@ -62,7 +62,7 @@
     fleet.apply_peer_update(at_ms(0), host(1), [(upstream(1), work(2, 300))]);
     fleet.apply_peer_update(at_ms(0), host(2), [(upstream(1), work(5, 0))]);
     let mut sum = WorkByUpstream::from([(upstream(1), work(1, 1))]);
-    fleet.add_to(&mut sum, |host_told| *host_told == host(1));
+    fleet.sum_into(&mut sum, |host_told| *host_told == host(1));
     assert_eq!(sum[&upstream(1)], work(3, 301));
 }
 
