--- a/crates/gateway/src/peers/standings.rs
+++ b/crates/gateway/src/peers/standings.rs
@@ -22,7 +22,7 @@
     let message = |(key, told): (UpstreamKey, HealthUpdate)| {
         let (is_over, left) = match told {
             HealthUpdate::Over(left) => (true, left),
-            HealthUpdate::Refusing(left) => (false, left),
+            HealthUpdate::BackingOff(left) => (false, left),
         };
         let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
         StandingNews { upstream: key.0, left_ms, is_over }
@@ -35,7 +35,7 @@
     let standing = |news: &StandingNews| {
         let left = Duration::from_millis(u64::from(news.left_ms));
         let told =
-            if news.is_over { HealthUpdate::Over(left) } else { HealthUpdate::Refusing(left) };
+            if news.is_over { HealthUpdate::Over(left) } else { HealthUpdate::BackingOff(left) };
         (UpstreamKey(news.upstream), told)
     };
     let told: HashMap<_, _> = told.iter().take(MAX_TOLD).map(standing).collect();
--- a/crates/policy/src/balance/health/standing.rs
+++ b/crates/policy/src/balance/health/standing.rs
@@ -124,7 +124,7 @@
             HealthUpdate::Over(left) => {
                 Self::Over(Over { since: now, until: now.after(left), in_row: 1 })
             }
-            HealthUpdate::Refusing(left) => {
+            HealthUpdate::BackingOff(left) => {
                 Self::Resting(Resting { until: now.after(left), in_row: 1 })
             }
         }
@@ -141,7 +141,7 @@
             Self::Resting(resting)
                 if now < resting.until && resting.in_row >= config.tell_resting_from =>
             {
-                Some(HealthUpdate::Refusing(resting.until.since(now)))
+                Some(HealthUpdate::BackingOff(resting.until.since(now)))
             }
             _ => None,
         }
@@ -162,14 +162,14 @@
     /// It is over, and is taken for so for this time.
     Over(Duration),
     /// It refuses requests, one after the other, and rests for this time.
-    Refusing(Duration),
+    BackingOff(Duration),
 }
 
 impl HealthUpdate {
     fn fitness(self) -> Fitness {
         match self {
             Self::Over(_) => Fitness::Over,
-            Self::Refusing(_) => Fitness::Resting,
+            Self::BackingOff(_) => Fitness::Resting,
         }
     }
 
@@ -177,7 +177,7 @@
     pub(super) fn bounded(self, config: &HealthConfig) -> Self {
         match self {
             Self::Over(left) => Self::Over(left.min(config.misdirected.longest)),
-            Self::Refusing(left) => Self::Refusing(left.min(config.refused.longest)),
+            Self::BackingOff(left) => Self::BackingOff(left.min(config.refused.longest)),
         }
     }
 }
--- a/tests/all/decisions/health.rs
+++ b/tests/all/decisions/health.rs
@@ -88,7 +88,7 @@
 }
 
 fn refusing(ms: u64) -> HealthUpdate {
-    HealthUpdate::Refusing(Duration::from_millis(ms))
+    HealthUpdate::BackingOff(Duration::from_millis(ms))
 }
 
 #[test]
@@ -143,6 +143,6 @@
     let mut health = UpstreamHealth::default();
     health.apply_peer_update(at_ms(0), &start(), HealthUpdate::Over(Duration::MAX));
     assert_eq!(health.fitness(at_ms(60_000), &start()), Fitness::Well);
-    health.apply_peer_update(at_ms(70_000), &start(), HealthUpdate::Refusing(Duration::MAX));
+    health.apply_peer_update(at_ms(70_000), &start(), HealthUpdate::BackingOff(Duration::MAX));
     assert_eq!(health.fitness(at_ms(72_000), &start()), Fitness::Well);
 }
