--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -328,9 +328,9 @@
         };
         self.state.metrics.attempt_ended(result);
         if let (AttemptEnd::Stream(_), Some(model)) = (end, self.model) {
-            let start_pace = self.call.start_pace(Some(model));
+            let relative_prefill_time = self.call.relative_prefill_time(Some(model));
             let service = &self.call.service_name;
-            upstreams.first_part(service, model, start_pace, self.chosen, took);
+            upstreams.first_part(service, model, relative_prefill_time, self.chosen, took);
         }
         if upstreams.observe(now, &self.chosen.start, evidence) {
             self.state.confirm_termination(&self.chosen.start);
--- a/crates/gateway/src/request/call.rs
+++ b/crates/gateway/src/request/call.rs
@@ -58,9 +58,9 @@
     }
 
     /// A model's pace as a part of the slowest one's, until its answers have shown it.
-    pub(crate) fn start_pace(&self, model: Option<&ModelName>) -> f64 {
+    pub(crate) fn relative_prefill_time(&self, model: Option<&ModelName>) -> f64 {
         let known = self.service.as_ref().zip(model);
-        known.map_or(1.0, |(service, model)| service.model_pace(model))
+        known.map_or(1.0, |(service, model)| service.relative_prefill_time(model))
     }
 
     /// A number from 0 to 1 that stays with the session, or with the request if it
--- a/crates/gateway/src/request/execution/choice.rs
+++ b/crates/gateway/src/request/execution/choice.rs
@@ -117,7 +117,7 @@
             service: &self.call.service_name,
             rule,
             model,
-            start_pace: self.call.start_pace(model),
+            relative_prefill_time: self.call.relative_prefill_time(model),
             prompt: self.call.head.prompt.as_ref(),
             body_bytes: self.call.body.len(),
             tie_seed: xxh3_64(self.call.head.id.as_bytes()),
--- a/crates/gateway/src/routing/service.rs
+++ b/crates/gateway/src/routing/service.rs
@@ -25,7 +25,7 @@
 impl Service {
     /// The time a model takes as a part of the dearest one's, taken from what it costs:
     /// the configuration says nothing of their speed. It is a start: answers show what it is.
-    pub fn model_pace(&self, model: &ModelName) -> f64 {
+    pub fn relative_prefill_time(&self, model: &ModelName) -> f64 {
         let dearest = self.model_costs.values().copied().fold(0.0, f64::max);
         match self.model_costs.get(model) {
             Some(cost) if dearest > 0.0 => cost / dearest,
--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -181,8 +181,8 @@
 
     /// How long the chosen model takes; a call without a model, no time that is known.
     fn reading_time(&self) -> PrefillTime {
-        let Placement { service, model, start_pace, .. } = *self.placement;
-        let time = |model| self.known.speeds.time(service, model, start_pace);
+        let Placement { service, model, relative_prefill_time, .. } = *self.placement;
+        let time = |model| self.known.speeds.time(service, model, relative_prefill_time);
         model.map_or_else(PrefillTime::default, time)
     }
 
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -335,7 +335,7 @@
         &self,
         service: &ServiceName,
         model: &ModelName,
-        start_pace: f64,
+        relative_prefill_time: f64,
         chosen: &Chosen,
         took: Duration,
     ) {
@@ -347,6 +347,6 @@
             other_ms: chosen.other_ms,
             took_ms: took.as_secs_f64() * 1e3,
         };
-        self.known.lock().speeds.observe(service, model, start_pace, first_part);
+        self.known.lock().speeds.observe(service, model, relative_prefill_time, first_part);
     }
 }
--- a/crates/gateway/src/upstreams/placement.rs
+++ b/crates/gateway/src/upstreams/placement.rs
@@ -21,7 +21,7 @@
     pub(crate) rule: &'a VersionRule,
     pub(crate) model: Option<&'a ModelName>,
     /// The model's pace as a part of the slowest one's, until its answers have shown it.
-    pub(crate) start_pace: f64,
+    pub(crate) relative_prefill_time: f64,
     pub(crate) prompt: Option<&'a Prompt>,
     pub(crate) body_bytes: usize,
     /// Differs from request to request. Of upstreams that cost the same, which many do in a
--- a/crates/policy/src/balance/prefill_speeds.rs
+++ b/crates/policy/src/balance/prefill_speeds.rs
@@ -92,11 +92,16 @@
 impl PrefillSpeeds {
     /// The time that a model takes. `start_pace` is the model's pace as a part of the slowest
     /// one's, as far as it can be told beforehand; it counts until the model has answered.
-    pub fn time(&self, service: &ServiceName, model: &ModelName, start_pace: f64) -> PrefillTime {
+    pub fn time(
+        &self,
+        service: &ServiceName,
+        model: &ModelName,
+        relative_prefill_time: f64,
+    ) -> PrefillTime {
         let rates = self.by_service.get(service);
         match rates.and_then(|rates| rates.get(model)) {
             Some(rate) => rate.time,
-            None => self.start(service, start_pace),
+            None => self.start(service, relative_prefill_time),
         }
     }
 
@@ -107,11 +112,11 @@
         &mut self,
         service: &ServiceName,
         model: &ModelName,
-        start_pace: f64,
+        relative_prefill_time: f64,
         first_part: FirstChunk,
     ) {
         let FirstChunk { unread_tokens, other_ms, took_ms } = first_part;
-        let known = self.time(service, model, start_pace);
+        let known = self.time(service, model, relative_prefill_time);
         let expected_ms = known.base_ms + known.of_tokens_ms(unread_tokens);
         let is_finite = other_ms.is_finite() && took_ms.is_finite();
         // It must have been the greater part of the time, by what is known or was seen.
@@ -124,7 +129,7 @@
         let answers = rates.get(model).map_or(0, |rate| rate.answers);
         let step = STEP.max(1.0 / (2.0 + f64::from(answers) / EARLY_ANSWERS));
         let time = known.scaled(off.powf(step * base_part), off.powf(step * (1.0 - base_part)));
-        let start_ms_per_token = start_pace * START_MS_PER_TOKEN;
+        let start_ms_per_token = relative_prefill_time * START_MS_PER_TOKEN;
         let answers = answers.saturating_add(1);
         rates.insert(model.clone(), Rate { start_ms_per_token, answers, time });
     }
@@ -138,12 +143,12 @@
 
     /// For a model that has not answered yet: what its pace lets expect, corrected by as much
     /// as the other models of the service are off on average.
-    fn start(&self, service: &ServiceName, start_pace: f64) -> PrefillTime {
+    fn start(&self, service: &ServiceName, relative_prefill_time: f64) -> PrefillTime {
         let rates = self.by_service.get(service).into_iter().flat_map(HashMap::values);
         let offs: Vec<f64> =
             rates.map(|rate| (rate.time.ms_per_token / rate.start_ms_per_token).ln()).collect();
         let mean = offs.iter().sum::<f64>() / offs.len().max(1) as f64;
-        let ms_per_token = start_pace * START_MS_PER_TOKEN;
+        let ms_per_token = relative_prefill_time * START_MS_PER_TOKEN;
         PrefillTime { base_ms: START_BASE_MS, ms_per_token }.scaled(1.0, mean.exp())
     }
 }
