--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -51,7 +51,7 @@
     pub(crate) fn send(&mut self, now: MonoTime, request: &FakeRequest) -> (usize, PrefillWork) {
         let facts = RequestFacts {
             prompt_tokens: request.prompt_tokens,
-            reading: PrefillTime { base_ms: 0.0, ms_per_token: MS_PER_TOKEN },
+            prefill_time: PrefillTime { base_ms: 0.0, ms_per_token: MS_PER_TOKEN },
             body_bytes: 0,
         };
         let parts = parts(request);
--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -130,7 +130,7 @@
         let prompt = self.placement.prompt;
         let request = RequestFacts {
             prompt_tokens: prompt.map_or(0, |prompt| prompt.input_tokens),
-            reading: self.reading_time(),
+            prefill_time: self.reading_time(),
             body_bytes: self.placement.body_bytes,
         };
         let members: Vec<_> = members.collect();
@@ -152,7 +152,7 @@
             version: member.version.clone(),
             work: PrefillWork { remaining_prefill_ms: uncached_prefill_ms(&request, &facts) },
             unread_tokens: request.prompt_tokens.saturating_sub(facts.cached_tokens),
-            base_ms: request.reading.base_ms,
+            base_ms: request.prefill_time.base_ms,
             other_ms: other_ms(self.config, &facts),
         })
     }
@@ -171,7 +171,7 @@
     ) -> Option<&'m UpstreamIncarnation> {
         let shared = self.placement.prompt?.shared_parts();
         let part = shared.last()?;
-        let saved_ms = request.reading.of_tokens_ms(likely_read_tokens(shared));
+        let saved_ms = request.prefill_time.of_tokens_ms(likely_read_tokens(shared));
         let is_worth_the_way =
             self.has_fleet_homes && saved_ms > cross_zone_cost_ms(self.config, request.body_bytes);
         let eligible =
--- a/crates/policy/src/balance/cost.rs
+++ b/crates/policy/src/balance/cost.rs
@@ -26,7 +26,7 @@
     /// The length of its prompt; zero for a call to a plain service.
     pub prompt_tokens: u64,
     /// How long an engine takes to read it with the chosen model.
-    pub reading: PrefillTime,
+    pub prefill_time: PrefillTime,
     /// The bytes to be sent.
     pub body_bytes: usize,
 }
@@ -38,13 +38,13 @@
     candidate: &CandidateFacts,
 ) -> f64 {
     let own_ms = uncached_prefill_ms(request, candidate);
-    request.reading.base_ms + own_ms + other_ms(config, candidate)
+    request.prefill_time.base_ms + own_ms + other_ms(config, candidate)
 }
 
 /// How long the engine reads this request's own prompt, what it has read before left out.
 pub fn uncached_prefill_ms(request: &RequestFacts, candidate: &CandidateFacts) -> f64 {
     let tokens = request.prompt_tokens.saturating_sub(candidate.cached_tokens);
-    request.reading.of_tokens_ms(tokens)
+    request.prefill_time.of_tokens_ms(tokens)
 }
 
 /// The part of the expected wait that is owed to other requests.
--- a/tests/all/decisions/balance.rs
+++ b/tests/all/decisions/balance.rs
@@ -147,8 +147,8 @@
         #[test]
         fn $name() {
             let config = BalanceConfig::default();
-            let reading = PrefillTime { base_ms: 20.0, ms_per_token: 0.025 };
-            let request = RequestFacts { prompt_tokens: 4_000, reading, body_bytes: 4_000 };
+            let prefill_time = PrefillTime { base_ms: 20.0, ms_per_token: 0.025 };
+            let request = RequestFacts { prompt_tokens: 4_000, prefill_time, body_bytes: 4_000 };
             let usual = CandidateFacts { slots: 8, is_same_zone: true, ..Default::default() };
             let first: fn(CandidateFacts) -> CandidateFacts = $first;
             let second: fn(CandidateFacts) -> CandidateFacts = $second;
