--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -67,7 +67,7 @@
         let read = self.prefixes.cached_tokens(now, instance, &self.model, &parts);
         let unread = request.prompt_tokens.saturating_sub(read);
         let work = PrefillWork { remaining_prefill_ms: unread as f64 * MS_PER_TOKEN };
-        self.load.started(instance, work);
+        self.load.request_started(instance, work);
         self.prefixes.read(now, instance, &self.model, &parts);
         (best, work)
     }
@@ -79,7 +79,7 @@
 
     /// The answer is whole.
     pub(crate) fn ended(&mut self, at: usize) {
-        self.load.ended(&self.instances[at], PrefillWork::default());
+        self.load.request_ended(&self.instances[at], PrefillWork::default());
     }
 
     fn candidate(&self, now: MonoTime, at: usize, parts: &[PromptPart]) -> CandidateFacts {
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -260,7 +260,7 @@
 
     /// Work is sent to an upstream. It counts until the guard is dropped.
     pub(crate) fn start(self: &Arc<Self>, chosen: &Chosen) -> WorkGuard {
-        self.known.lock().load.started(&chosen.start, chosen.work);
+        self.known.lock().load.request_started(&chosen.start, chosen.work);
         let start = chosen.start.clone();
         WorkGuard { upstreams: Arc::clone(self), start, unread: chosen.work }
     }
--- a/crates/gateway/src/upstreams/notices.rs
+++ b/crates/gateway/src/upstreams/notices.rs
@@ -19,7 +19,7 @@
     ) -> bool {
         let mut known = self.known.lock();
         if let Some(load) = upstream_report.load {
-            known.load.reported(now, start, load);
+            known.load.record_report(now, start, load);
         }
         if let Some(cold) = upstream_report.cold {
             known.cold.record_report(now, start, ReportedCold::For(cold));
--- a/crates/gateway/src/upstreams/work.rs
+++ b/crates/gateway/src/upstreams/work.rs
@@ -25,6 +25,6 @@
 
 impl Drop for WorkGuard {
     fn drop(&mut self) {
-        self.upstreams.known.lock().load.ended(&self.start, self.unread);
+        self.upstreams.known.lock().load.request_ended(&self.start, self.unread);
     }
 }
--- a/crates/policy/src/balance/load.rs
+++ b/crates/policy/src/balance/load.rs
@@ -51,7 +51,7 @@
 
 impl UpstreamLoad {
     /// Work was sent.
-    pub fn started(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
+    pub fn request_started(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
         let load = self.by_start.entry(start.clone()).or_default();
         load.in_progress += 1;
         load.remaining_prefill_ms += work.remaining_prefill_ms;
@@ -66,7 +66,7 @@
     }
 
     /// The work has ended, however; `work` is what had not been read by then.
-    pub fn ended(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
+    pub fn request_ended(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
         self.prefill_finished(start, work);
         if let Some(load) = self.by_start.get_mut(start) {
             load.in_progress = load.in_progress.saturating_sub(1);
@@ -74,7 +74,12 @@
     }
 
     /// An upstream told its load.
-    pub fn reported(&mut self, now: MonoTime, start: &UpstreamIncarnation, load: ReportedLoad) {
+    pub fn record_report(
+        &mut self,
+        now: MonoTime,
+        start: &UpstreamIncarnation,
+        load: ReportedLoad,
+    ) {
         self.by_start.entry(start.clone()).or_default().reported = Some((now, load));
     }
 
--- a/tests/all/decisions/balance.rs
+++ b/tests/all/decisions/balance.rs
@@ -75,13 +75,13 @@
     let mut load = UpstreamLoad::default();
     let a = start("a");
     let work = PrefillWork { remaining_prefill_ms: 100.0 };
-    load.started(&a, work);
-    load.started(&a, work);
+    load.request_started(&a, work);
+    load.request_started(&a, work);
     assert_eq!((load.in_progress(at_ms(0), &a, 0), load.remaining_prefill_ms(&a)), (2, 200.0));
     load.prefill_finished(&a, work);
-    load.ended(&a, PrefillWork::default());
+    load.request_ended(&a, PrefillWork::default());
     assert_eq!((load.in_progress(at_ms(0), &a, 0), load.remaining_prefill_ms(&a)), (1, 100.0));
-    load.ended(&a, work);
+    load.request_ended(&a, work);
     assert_eq!((load.in_progress(at_ms(0), &a, 0), load.remaining_prefill_ms(&a)), (0, 0.0));
 }
 
@@ -89,7 +89,7 @@
 fn a_reported_load_counts_while_it_is_fresh() {
     let mut load = UpstreamLoad::default();
     let a = start("a");
-    load.reported(at_ms(0), &a, ReportedLoad { running: 5, waiting: 2 });
+    load.record_report(at_ms(0), &a, ReportedLoad { running: 5, waiting: 2 });
     assert_eq!(load.in_progress(at_ms(100), &a, 0), 7);
     assert_eq!(load.in_progress(at_ms(600), &a, 0), 0);
     assert_eq!(load.in_progress(at_ms(100), &a, 3), 7, "others' work is in what was reported");
