--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -10,9 +10,9 @@
 use stallhoist_measure::FakeRequest;
 use stallhoist_policy::balance::BalanceConfig;
 use stallhoist_policy::balance::CandidateFacts;
+use stallhoist_policy::balance::PrefillTime;
 use stallhoist_policy::balance::PrefillWork;
 use stallhoist_policy::balance::PrefixCaches;
-use stallhoist_policy::balance::ReadingTime;
 use stallhoist_policy::balance::RequestFacts;
 use stallhoist_policy::balance::UpstreamLoad;
 use stallhoist_policy::balance::expected_cost_ms;
@@ -51,7 +51,7 @@
     pub(crate) fn send(&mut self, now: MonoTime, request: &FakeRequest) -> (usize, PrefillWork) {
         let facts = RequestFacts {
             prompt_tokens: request.prompt_tokens,
-            reading: ReadingTime { base_ms: 0.0, ms_per_token: MS_PER_TOKEN },
+            prefill_time: PrefillTime { base_ms: 0.0, ms_per_token: MS_PER_TOKEN },
             body_bytes: 0,
         };
         let parts = parts(request);
@@ -64,11 +64,11 @@
         let best = costs.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let best = best.map_or(0, |(.., at)| at);
         let instance = &self.instances[best];
-        let read = self.prefixes.read_tokens(now, instance, &self.model, &parts);
+        let read = self.prefixes.cached_tokens(now, instance, &self.model, &parts);
         let unread = request.prompt_tokens.saturating_sub(read);
         let work = PrefillWork { remaining_prefill_ms: unread as f64 * MS_PER_TOKEN };
-        self.load.started(instance, work);
-        self.prefixes.read(now, instance, &self.model, &parts);
+        self.load.request_started(instance, work);
+        self.prefixes.record_prefill(now, instance, &self.model, &parts);
         (best, work)
     }
 
@@ -79,7 +79,7 @@
 
     /// The answer is whole.
     pub(crate) fn ended(&mut self, at: usize) {
-        self.load.ended(&self.instances[at], PrefillWork::default());
+        self.load.request_ended(&self.instances[at], PrefillWork::default());
     }
 
     fn candidate(&self, now: MonoTime, at: usize, parts: &[PromptPart]) -> CandidateFacts {
@@ -88,7 +88,7 @@
             in_progress: self.load.in_progress(now, instance, 0),
             slots: SLOTS,
             remaining_prefill_ms: self.load.remaining_prefill_ms(instance),
-            read_tokens: self.prefixes.read_tokens(now, instance, &self.model, parts),
+            cached_tokens: self.prefixes.cached_tokens(now, instance, &self.model, parts),
             is_same_zone: true,
             failure_rate: 0.0,
         }
--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -7,13 +7,13 @@
 use stallhoist_policy::balance::BalanceConfig;
 use stallhoist_policy::balance::CandidateFacts;
 use stallhoist_policy::balance::Fitness;
+use stallhoist_policy::balance::PrefillTime;
 use stallhoist_policy::balance::PrefillWork;
-use stallhoist_policy::balance::ReadingTime;
 use stallhoist_policy::balance::RequestFacts;
+use stallhoist_policy::balance::cross_zone_cost_ms;
 use stallhoist_policy::balance::expected_cost_ms;
 use stallhoist_policy::balance::other_ms;
-use stallhoist_policy::balance::other_zone_cost_ms;
-use stallhoist_policy::balance::own_reading_ms;
+use stallhoist_policy::balance::uncached_prefill_ms;
 use stallhoist_policy::fleet_bound::SendQuota;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -130,7 +130,7 @@
         let prompt = self.placement.prompt;
         let request = RequestFacts {
             prompt_tokens: prompt.map_or(0, |prompt| prompt.input_tokens),
-            reading: self.reading_time(),
+            prefill_time: self.reading_time(),
             body_bytes: self.placement.body_bytes,
         };
         let members: Vec<_> = members.collect();
@@ -150,9 +150,9 @@
             start: member.start.clone(),
             addr: member.addr,
             version: member.version.clone(),
-            work: PrefillWork { remaining_prefill_ms: own_reading_ms(&request, &facts) },
-            unread_tokens: request.prompt_tokens.saturating_sub(facts.read_tokens),
-            base_ms: request.reading.base_ms,
+            work: PrefillWork { remaining_prefill_ms: uncached_prefill_ms(&request, &facts) },
+            unread_tokens: request.prompt_tokens.saturating_sub(facts.cached_tokens),
+            base_ms: request.prefill_time.base_ms,
             other_ms: other_ms(self.config, &facts),
         })
     }
@@ -171,28 +171,28 @@
     ) -> Option<&'m UpstreamIncarnation> {
         let shared = self.placement.prompt?.shared_parts();
         let part = shared.last()?;
-        let saved_ms = request.reading.of_tokens_ms(likely_read_tokens(shared));
+        let saved_ms = request.prefill_time.of_tokens_ms(likely_read_tokens(shared));
         let is_worth_the_way =
-            self.has_fleet_homes && saved_ms > other_zone_cost_ms(self.config, request.body_bytes);
+            self.has_fleet_homes && saved_ms > cross_zone_cost_ms(self.config, request.body_bytes);
         let eligible =
             members.iter().filter(|member| is_worth_the_way || member.zone == *self.own_zone);
         eligible.min_by_key(|member| hash_of(member, part.id)).map(|member| &member.start)
     }
 
     /// How long the chosen model takes; a call without a model, no time that is known.
-    fn reading_time(&self) -> ReadingTime {
-        let Placement { service, model, start_pace, .. } = *self.placement;
-        let time = |model| self.known.speeds.time(service, model, start_pace);
-        model.map_or_else(ReadingTime::default, time)
+    fn reading_time(&self) -> PrefillTime {
+        let Placement { service, model, relative_prefill_time, .. } = *self.placement;
+        let time = |model| self.known.speeds.time(service, model, relative_prefill_time);
+        model.map_or_else(PrefillTime::default, time)
     }
 
     fn facts(&self, member: &Member, is_home: bool) -> CandidateFacts {
         let Self { known, now, placement, .. } = *self;
         let start = &member.start;
-        let read_tokens = match (placement.model, placement.prompt) {
+        let cached_tokens = match (placement.model, placement.prompt) {
             (Some(model), Some(prompt)) => {
                 let shared = prompt.shared_parts();
-                let known = known.prefix_caches.read_tokens(now, start, model, shared);
+                let known = known.prefix_caches.cached_tokens(now, start, model, shared);
                 if is_home { known.max(likely_read_tokens(shared)) } else { known }
             }
             _ => 0,
@@ -202,7 +202,7 @@
             in_progress: work.in_progress,
             slots: member.slots,
             remaining_prefill_ms: work.remaining_prefill_ms,
-            read_tokens,
+            cached_tokens,
             is_same_zone: member.zone == *self.own_zone,
             failure_rate: known.health.failure_rate(now, start),
         }
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -26,12 +26,12 @@
 use stallhoist_policy::balance::BalanceConfig;
 use stallhoist_policy::balance::CandidateFacts;
 use stallhoist_policy::balance::Evidence;
-use stallhoist_policy::balance::FirstPart;
+use stallhoist_policy::balance::FirstChunk;
 use stallhoist_policy::balance::Fitness;
-use stallhoist_policy::balance::FleetWork;
 use stallhoist_policy::balance::HealthConfig;
+use stallhoist_policy::balance::PeerWork;
+use stallhoist_policy::balance::PrefillSpeeds;
 use stallhoist_policy::balance::PrefixCaches;
-use stallhoist_policy::balance::ReadingSpeeds;
 use stallhoist_policy::balance::UpstreamHealth;
 use stallhoist_policy::balance::UpstreamKey;
 use stallhoist_policy::balance::UpstreamLoad;
@@ -70,10 +70,10 @@
 struct Known {
     directory: Directory,
     load: UpstreamLoad,
-    fleet_work: FleetWork,
+    peer_work: PeerWork,
     health: UpstreamHealth,
     prefix_caches: PrefixCaches,
-    speeds: ReadingSpeeds,
+    speeds: PrefillSpeeds,
     emptied_zones: EmptiedZones,
     /// The entries among which what upstreams take is divided.
     fleet: Fleet,
@@ -99,10 +99,10 @@
         Self {
             directory: Directory::default(),
             load: UpstreamLoad::default(),
-            fleet_work: FleetWork::default(),
+            peer_work: PeerWork::default(),
             health: UpstreamHealth::new(HealthConfig::default()),
             prefix_caches: PrefixCaches::default(),
-            speeds: ReadingSpeeds::default(),
+            speeds: PrefillSpeeds::default(),
             emptied_zones: EmptiedZones::default(),
             fleet: Fleet::new(own),
             cold: ColdUpstreams::new(bound),
@@ -133,11 +133,11 @@
     }
 
     fn work_on(&self, now: MonoTime, start: &UpstreamIncarnation) -> KnownWork {
-        let others = self.fleet_work.on(UpstreamKey::of(start));
+        let others = self.peer_work.on(UpstreamKey::of(start));
         KnownWork {
             in_progress: self.load.in_progress(now, start, others.requests),
             remaining_prefill_ms: self.load.remaining_prefill_ms(start)
-                + f64::from(others.reading_ms),
+                + f64::from(others.prefill_ms),
         }
     }
 }
@@ -264,7 +264,7 @@
 
     /// Work is sent to an upstream. It counts until the guard is dropped.
     pub(crate) fn start(self: &Arc<Self>, chosen: &Chosen) -> WorkGuard {
-        self.known.lock().load.started(&chosen.start, chosen.work);
+        self.known.lock().load.request_started(&chosen.start, chosen.work);
         let start = chosen.start.clone();
         WorkGuard { upstreams: Arc::clone(self), start, unread: chosen.work }
     }
@@ -331,7 +331,7 @@
         model: &ModelName,
         prompt: &Prompt,
     ) {
-        self.known.lock().prefix_caches.read(now, start, model, prompt.shared_parts());
+        self.known.lock().prefix_caches.record_prefill(now, start, model, prompt.shared_parts());
     }
 
     /// The first part of an answer came from the chosen upstream.
@@ -339,18 +339,18 @@
         &self,
         service: &ServiceName,
         model: &ModelName,
-        start_pace: f64,
+        relative_prefill_time: f64,
         chosen: &Chosen,
         took: Duration,
     ) {
         if !self.decisions.learns_speeds {
             return;
         }
-        let first_part = FirstPart {
+        let first_part = FirstChunk {
             unread_tokens: chosen.unread_tokens,
             other_ms: chosen.other_ms,
             took_ms: took.as_secs_f64() * 1e3,
         };
-        self.known.lock().speeds.observe(service, model, start_pace, first_part);
+        self.known.lock().speeds.observe(service, model, relative_prefill_time, first_part);
     }
 }
--- a/crates/gateway/src/upstreams/news.rs
+++ b/crates/gateway/src/upstreams/news.rs
@@ -75,8 +75,8 @@
             return WorkByUpstream::new();
         }
         let known = self.known.lock();
-        let mut work = known.load.own_work().collect();
-        known.fleet_work.add_to(&mut work, included);
+        let mut work = known.load.local_work().collect();
+        known.peer_work.sum_into(&mut work, included);
         work
     }
 
@@ -87,11 +87,11 @@
         host: HostId,
         work: impl IntoIterator<Item = (UpstreamKey, WorkInProgress)>,
     ) {
-        self.known.lock().fleet_work.apply_peer_update(now, host, work);
+        self.known.lock().peer_work.apply_peer_update(now, host, work);
     }
 
     /// Drops what other entries told too long ago.
     pub(crate) fn expire_fleet_work(&self, now: MonoTime) {
-        self.known.lock().fleet_work.expire(now);
+        self.known.lock().peer_work.expire(now);
     }
 }
--- a/crates/policy/src/balance/cost.rs
+++ b/crates/policy/src/balance/cost.rs
@@ -1,7 +1,7 @@
 //! What sending a request to an upstream is expected to cost, in milliseconds.
 
 use super::BalanceConfig;
-use super::ReadingTime;
+use super::PrefillTime;
 
 /// What is known of an upstream that may take a request.
 #[derive(Debug, Clone, Copy, Default)]
@@ -13,7 +13,7 @@
     /// The time that it still has to read prompts of other requests, in milliseconds.
     pub remaining_prefill_ms: f64,
     /// Tokens of this request's prompt that it has read before.
-    pub read_tokens: u64,
+    pub cached_tokens: u64,
     /// Whether it is in the entry's own availability zone.
     pub is_same_zone: bool,
     /// The share of its answers that failed lately, from 0 to 1.
@@ -26,7 +26,7 @@
     /// The length of its prompt; zero for a call to a plain service.
     pub prompt_tokens: u64,
     /// How long an engine takes to read it with the chosen model.
-    pub reading: ReadingTime,
+    pub prefill_time: PrefillTime,
     /// The bytes to be sent.
     pub body_bytes: usize,
 }
@@ -37,14 +37,14 @@
     request: &RequestFacts,
     candidate: &CandidateFacts,
 ) -> f64 {
-    let own_ms = own_reading_ms(request, candidate);
-    request.reading.base_ms + own_ms + other_ms(config, candidate)
+    let own_ms = uncached_prefill_ms(request, candidate);
+    request.prefill_time.base_ms + own_ms + other_ms(config, candidate)
 }
 
 /// How long the engine reads this request's own prompt, what it has read before left out.
-pub fn own_reading_ms(request: &RequestFacts, candidate: &CandidateFacts) -> f64 {
-    let tokens = request.prompt_tokens.saturating_sub(candidate.read_tokens);
-    request.reading.of_tokens_ms(tokens)
+pub fn uncached_prefill_ms(request: &RequestFacts, candidate: &CandidateFacts) -> f64 {
+    let tokens = request.prompt_tokens.saturating_sub(candidate.cached_tokens);
+    request.prefill_time.of_tokens_ms(tokens)
 }
 
 /// The part of the expected wait that is owed to other requests.
@@ -60,8 +60,8 @@
     candidate: &CandidateFacts,
 ) -> f64 {
     let zone_ms =
-        if candidate.is_same_zone { 0.0 } else { other_zone_cost_ms(config, request.body_bytes) };
-    let others_ms = config.held_up_by_reading * own_reading_ms(request, candidate);
+        if candidate.is_same_zone { 0.0 } else { cross_zone_cost_ms(config, request.body_bytes) };
+    let others_ms = config.held_up_by_reading * uncached_prefill_ms(request, candidate);
     expected_wait_ms(config, request, candidate)
         + others_ms
         + zone_ms
@@ -69,8 +69,8 @@
 }
 
 /// What sending so many bytes to another availability zone costs.
-pub fn other_zone_cost_ms(config: &BalanceConfig, body_bytes: usize) -> f64 {
-    config.other_zone_ms + config.other_zone_ms_per_kb * body_bytes as f64 / 1_000.0
+pub fn cross_zone_cost_ms(config: &BalanceConfig, body_bytes: usize) -> f64 {
+    config.cross_zone_ms + config.cross_zone_ms_per_kb * body_bytes as f64 / 1_000.0
 }
 
 /// The time until a place is free, when all are taken.
--- a/crates/policy/src/balance/load.rs
+++ b/crates/policy/src/balance/load.rs
@@ -51,7 +51,7 @@
 
 impl UpstreamLoad {
     /// Work was sent.
-    pub fn started(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
+    pub fn request_started(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
         let load = self.by_start.entry(start.clone()).or_default();
         load.in_progress += 1;
         load.remaining_prefill_ms += work.remaining_prefill_ms;
@@ -66,7 +66,7 @@
     }
 
     /// The work has ended, however; `work` is what had not been read by then.
-    pub fn ended(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
+    pub fn request_ended(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
         self.prefill_finished(start, work);
         if let Some(load) = self.by_start.get_mut(start) {
             load.in_progress = load.in_progress.saturating_sub(1);
@@ -74,7 +74,12 @@
     }
 
     /// An upstream told its load.
-    pub fn reported(&mut self, now: MonoTime, start: &UpstreamIncarnation, load: ReportedLoad) {
+    pub fn record_report(
+        &mut self,
+        now: MonoTime,
+        start: &UpstreamIncarnation,
+        load: ReportedLoad,
+    ) {
         self.by_start.entry(start.clone()).or_default().reported = Some((now, load));
     }
 
@@ -95,11 +100,11 @@
     }
 
     /// This entry's work on each upstream that has any.
-    pub fn own_work(&self) -> impl Iterator<Item = (UpstreamKey, WorkInProgress)> {
+    pub fn local_work(&self) -> impl Iterator<Item = (UpstreamKey, WorkInProgress)> {
         let busy = self.by_start.iter().filter(|(_, load)| load.in_progress > 0);
         busy.map(|(start, load)| {
-            let reading_ms = load.remaining_prefill_ms.round() as u32;
-            let work = WorkInProgress { requests: load.in_progress, reading_ms };
+            let prefill_ms = load.remaining_prefill_ms.round() as u32;
+            let work = WorkInProgress { requests: load.in_progress, prefill_ms };
             (UpstreamKey::of(start), work)
         })
     }
--- a/crates/policy/src/balance/fleet_work.rs
+++ b/crates/policy/src/balance/peer_work.rs
@@ -39,7 +39,7 @@
     /// Requests in progress.
     pub requests: u32,
     /// How long it is expected to read their prompts, in milliseconds.
-    pub reading_ms: u32,
+    pub prefill_ms: u32,
 }
 
 impl WorkInProgress {
@@ -48,21 +48,21 @@
     pub fn plus(self, other: Self) -> Self {
         Self {
             requests: self.requests.saturating_add(other.requests),
-            reading_ms: self.reading_ms.saturating_add(other.reading_ms),
+            prefill_ms: self.prefill_ms.saturating_add(other.prefill_ms),
         }
     }
 
     fn minus(self, other: Self) -> Self {
         Self {
             requests: self.requests.saturating_sub(other.requests),
-            reading_ms: self.reading_ms.saturating_sub(other.reading_ms),
+            prefill_ms: self.prefill_ms.saturating_sub(other.prefill_ms),
         }
     }
 
     fn bounded(self) -> Self {
         Self {
             requests: self.requests.min(MAX_REQUESTS),
-            reading_ms: self.reading_ms.min(MAX_READING_MS),
+            prefill_ms: self.prefill_ms.min(MAX_READING_MS),
         }
     }
 }
@@ -78,12 +78,12 @@
 
 /// The work that other entries have in progress, as each told it last.
 #[derive(Debug, Default)]
-pub struct FleetWork {
+pub struct PeerWork {
     by_host: HashMap<HostId, Told>,
     total: WorkByUpstream,
 }
 
-impl FleetWork {
+impl PeerWork {
     /// An entry tells its work, in place of what it told before.
     pub fn apply_peer_update(
         &mut self,
@@ -119,7 +119,7 @@
     }
 
     /// Adds what the entries that are `included` have in progress.
-    pub fn add_to(&self, sum: &mut WorkByUpstream, included: impl Fn(&HostId) -> bool) {
+    pub fn sum_into(&self, sum: &mut WorkByUpstream, included: impl Fn(&HostId) -> bool) {
         let told = self.by_host.iter().filter(|(host, _)| included(host));
         for (key, work) in told.flat_map(|(_, told)| &told.work) {
             let total = sum.entry(*key).or_default();
--- a/crates/policy/src/balance/prefix_caches.rs
+++ b/crates/policy/src/balance/prefix_caches.rs
@@ -35,7 +35,7 @@
 
 impl PrefixCaches {
     /// An upstream has read these parts with a model.
-    pub fn read(
+    pub fn record_prefill(
         &mut self,
         now: MonoTime,
         start: &UpstreamIncarnation,
@@ -56,7 +56,7 @@
     }
 
     /// How many leading tokens of these parts an upstream is believed to have read.
-    pub fn read_tokens(
+    pub fn cached_tokens(
         &self,
         now: MonoTime,
         start: &UpstreamIncarnation,
--- a/tests/all/decisions/reading_speeds.rs
+++ b/tests/all/decisions/prefill_speeds.rs
@@ -5,8 +5,8 @@
 use rand::rngs::StdRng;
 use stallhoist_core::ModelName;
 use stallhoist_core::ServiceName;
-use stallhoist_policy::balance::FirstPart;
-use stallhoist_policy::balance::ReadingSpeeds;
+use stallhoist_policy::balance::FirstChunk;
+use stallhoist_policy::balance::PrefillSpeeds;
 
 fn service() -> ServiceName {
     "service".parse().expect("a name")
@@ -31,20 +31,20 @@
         Self { ms_per_token, rng: StdRng::seed_from_u64(seed) }
     }
 
-    fn first_part(&mut self) -> FirstPart {
+    fn first_part(&mut self) -> FirstChunk {
         let is_short = self.rng.random_bool(0.5);
         let longest = if is_short { 1_500 } else { 20_000 };
         let unread_tokens = self.rng.random_range(0..longest);
         let other_ms = self.rng.random_range(0.0..100.0);
-        let reading_ms = unread_tokens as f64 * self.ms_per_token;
+        let prefill_ms = unread_tokens as f64 * self.ms_per_token;
         let scatter = self.rng.random_range(0.7..1.3);
         let unknown_ms = if self.rng.random_bool(0.1) { 2_000.0 } else { 0.0 };
-        let own_ms = (BASE_MS + reading_ms) * scatter;
-        FirstPart { unread_tokens, other_ms, took_ms: own_ms + other_ms + unknown_ms }
+        let own_ms = (BASE_MS + prefill_ms) * scatter;
+        FirstChunk { unread_tokens, other_ms, took_ms: own_ms + other_ms + unknown_ms }
     }
 }
 
-fn observe(speeds: &mut ReadingSpeeds, engine: &mut Engine, answers: usize) {
+fn observe(speeds: &mut PrefillSpeeds, engine: &mut Engine, answers: usize) {
     for _ in 0..answers {
         speeds.observe(&service(), &model("m"), 1.0, engine.first_part());
     }
@@ -57,7 +57,7 @@
         #[test]
         fn $name() {
             for seed in 0..20 {
-                let mut speeds = ReadingSpeeds::default();
+                let mut speeds = PrefillSpeeds::default();
                 let mut engine = Engine::new($ms_per_token, seed);
                 observe(&mut speeds, &mut engine, $answers);
                 let off = speeds.time(&service(), &model("m"), 1.0).ms_per_token / $ms_per_token;
@@ -76,7 +76,7 @@
 
 #[test]
 fn what_short_prompts_take_is_not_taken_for_reading() {
-    let mut speeds = ReadingSpeeds::default();
+    let mut speeds = PrefillSpeeds::default();
     observe(&mut speeds, &mut Engine::new(0.01, 1), 500);
     let time = speeds.time(&service(), &model("m"), 1.0);
     assert!((35.0..75.0).contains(&time.base_ms), "{time:?}");
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_change_of_speed_is_followed() {
-    let mut speeds = ReadingSpeeds::default();
+    let mut speeds = PrefillSpeeds::default();
     observe(&mut speeds, &mut Engine::new(0.02, 1), 500);
     observe(&mut speeds, &mut Engine::new(0.06, 2), 30);
     let slower = speeds.time(&service(), &model("m"), 1.0).ms_per_token;
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_model_that_has_not_answered_starts_from_the_others() {
-    let mut speeds = ReadingSpeeds::default();
+    let mut speeds = PrefillSpeeds::default();
     let before = speeds.time(&service(), &model("other"), 0.5).ms_per_token;
     let mut engine = Engine::new(0.12, 1);
     for _ in 0..300 {
@@ -112,7 +112,7 @@
     ($name:ident, $first_part:expr) => {
         #[test]
         fn $name() {
-            let mut speeds = ReadingSpeeds::default();
+            let mut speeds = PrefillSpeeds::default();
             for _ in 0..1_000 {
                 speeds.observe(&service(), &model("m"), 1.0, $first_part);
             }
@@ -122,17 +122,17 @@
     };
 }
 
-ignored!(no_number, FirstPart { unread_tokens: 5_000, other_ms: 0.0, took_ms: f64::NAN });
+ignored!(no_number, FirstChunk { unread_tokens: 5_000, other_ms: 0.0, took_ms: f64::NAN });
 ignored!(
     an_infinite_time,
-    FirstPart { unread_tokens: 5_000, other_ms: 0.0, took_ms: f64::INFINITY }
+    FirstChunk { unread_tokens: 5_000, other_ms: 0.0, took_ms: f64::INFINITY }
 );
-ignored!(a_negative_time, FirstPart { unread_tokens: 5_000, other_ms: 0.0, took_ms: -1e9 });
-ignored!(a_week, FirstPart { unread_tokens: 5_000, other_ms: 0.0, took_ms: 6e8 });
-ignored!(all_tokens_there_are, FirstPart { unread_tokens: u64::MAX, other_ms: 0.0, took_ms: 1.0 });
+ignored!(a_negative_time, FirstChunk { unread_tokens: 5_000, other_ms: 0.0, took_ms: -1e9 });
+ignored!(a_week, FirstChunk { unread_tokens: 5_000, other_ms: 0.0, took_ms: 6e8 });
+ignored!(all_tokens_there_are, FirstChunk { unread_tokens: u64::MAX, other_ms: 0.0, took_ms: 1.0 });
 
 #[test]
 fn a_prompt_of_absurd_length_takes_a_bounded_time() {
-    let time = ReadingSpeeds::default().time(&service(), &model("m"), 1.0);
+    let time = PrefillSpeeds::default().time(&service(), &model("m"), 1.0);
     assert_eq!(time.of_tokens_ms(u64::MAX), 600_000.0);
 }
