--- a/crates/gateway/src/era_watch.rs
+++ b/crates/gateway/src/era_tracker.rs
@@ -24,7 +24,7 @@
 
 /// Which era of the store a feed is known from.
 #[derive(Debug, Default)]
-pub struct EraWatch {
+pub struct EraTracker {
     /// The newest version that was heard of; none before the first.
     newest: Option<StoreVersion>,
     /// The store has come back from a copy: until then what is missing there may be written again.
@@ -33,7 +33,7 @@
     late_since: Option<MonoTime>,
 }
 
-impl EraWatch {
+impl EraTracker {
     /// A whole feed was read at a version.
     pub fn read(&mut self, now: MonoTime, version: StoreVersion) -> EraOfAnswer {
         let Some(newest) = self.newest.replace(version) else {
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -15,8 +15,8 @@
 use crate::control_store::ControlStoreError;
 use crate::control_store::Feed;
 use crate::control_store::FeedPage;
-use crate::era_watch::EraOfAnswer;
-use crate::era_watch::EraWatch;
+use crate::era_tracker::EraOfAnswer;
+use crate::era_tracker::EraTracker;
 use crate::log_limit::LogLimit;
 use crate::state::GatewayState;
 
@@ -57,7 +57,7 @@
         store,
         feed,
         is_reached: None,
-        eras: EraWatch::default(),
+        eras: EraTracker::default(),
         unreadable_rows: LogLimit::default(),
     };
     loop {
@@ -75,7 +75,7 @@
     feed: Feed,
     /// Whether the last call was answered; none before the first.
     is_reached: Option<bool>,
-    eras: EraWatch,
+    eras: EraTracker,
     unreadable_rows: LogLimit,
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -28,7 +28,7 @@
 pub mod control_store;
 mod decision_log;
 pub mod dialect;
-pub mod era_watch;
+pub mod era_tracker;
 mod error;
 pub mod event_frames;
 mod fatal;
--- a/tests/all/decisions/era_watch.rs
+++ b/tests/all/decisions/era_tracker.rs
@@ -4,8 +4,8 @@
 
 use stallhoist_core::StoreEra;
 use stallhoist_core::StoreVersion;
-use stallhoist_gateway::era_watch::EraOfAnswer;
-use stallhoist_gateway::era_watch::EraWatch;
+use stallhoist_gateway::era_tracker::EraOfAnswer;
+use stallhoist_gateway::era_tracker::EraTracker;
 
 use super::at_ms;
 
@@ -18,7 +18,7 @@
     ($name:ident, $reads:expr, $expected:expr) => {
         #[test]
         fn $name() {
-            let mut watch = EraWatch::default();
+            let mut watch = EraTracker::default();
             let reads: &[StoreVersion] = &$reads;
             let answers = (0..).zip(reads).map(|(s, read)| watch.read(at_ms(1_000 * s), *read));
             assert_eq!(answers.last(), Some($expected));
@@ -43,7 +43,7 @@
 
 #[test]
 fn one_that_comes_for_long_is_believed() {
-    let mut watch = EraWatch::default();
+    let mut watch = EraTracker::default();
     watch.read(at_ms(0), version(8, 2));
     assert_eq!(watch.read(at_ms(1_000), version(0, 5)), EraOfAnswer::Late(version(8, 2)));
     assert_eq!(watch.read(at_ms(10_999), version(0, 5)), EraOfAnswer::Late(version(8, 2)));
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_late_one_before_one_that_is_not_does_not_count_for_the_next() {
-    let mut watch = EraWatch::default();
+    let mut watch = EraTracker::default();
     watch.read(at_ms(0), version(8, 2));
     watch.read(at_ms(1_000), version(7, 5));
     watch.read(at_ms(2_000), version(8, 3));
@@ -62,7 +62,7 @@
 
 #[test]
 fn what_is_known_goes_first_for_so_long() {
-    let mut watch = EraWatch::default();
+    let mut watch = EraTracker::default();
     assert_eq!(watch.unsettled_left(at_ms(0)), None);
     watch.unsettled_for(at_ms(0), Duration::from_secs(5));
     assert_eq!(watch.unsettled_left(at_ms(4_000)), Some(Duration::from_secs(1)));
--- a/tests/all/decisions/mod.rs
+++ b/tests/all/decisions/mod.rs
@@ -3,7 +3,7 @@
 mod balance;
 mod cold;
 mod directory;
-mod era_watch;
+mod era_tracker;
 mod event_frames;
 mod fatal;
 mod fleet_work;
