--- a/crates/gateway/src/era_tracker.rs
+++ b/crates/gateway/src/era_tracker.rs
@@ -10,16 +10,16 @@
 
 /// What an answer of a version is, by its era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EraOfAnswer {
+pub enum EraComparison {
     /// That which is known, or the first.
-    Known,
+    Current,
     /// A later one: the store has come back from a copy since this version.
-    Later(StoreVersion),
+    Advanced(StoreVersion),
     /// An earlier one than that of this version: a copy that another entry held, or an answer that was
     /// long on its way.
-    Late(StoreVersion),
+    Stale(StoreVersion),
     /// An earlier one, and no other ones have come for long: it is to be believed.
-    Back(StoreVersion),
+    Reverted(StoreVersion),
 }
 
 /// Which era of the store a feed is known from.
@@ -35,23 +35,23 @@
 
 impl EraTracker {
     /// A whole feed was read at a version.
-    pub fn read(&mut self, now: MonoTime, version: StoreVersion) -> EraOfAnswer {
+    pub fn read(&mut self, now: MonoTime, version: StoreVersion) -> EraComparison {
         let Some(newest) = self.newest.replace(version) else {
-            return EraOfAnswer::Known;
+            return EraComparison::Current;
         };
         if version.era >= newest.era {
             self.newest = Some(newest.max(version));
             self.late_since = None;
             let is_later = version.era > newest.era;
-            return if is_later { EraOfAnswer::Later(newest) } else { EraOfAnswer::Known };
+            return if is_later { EraComparison::Advanced(newest) } else { EraComparison::Current };
         }
         let since = *self.late_since.get_or_insert(now);
         if now.since(since) >= LATE_FOR {
             self.late_since = None;
-            return EraOfAnswer::Back(newest);
+            return EraComparison::Reverted(newest);
         }
         self.newest = Some(newest);
-        EraOfAnswer::Late(newest)
+        EraComparison::Stale(newest)
     }
 
     /// Changes came, up to a version.
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -15,7 +15,7 @@
 use crate::control_store::ControlStoreError;
 use crate::control_store::Feed;
 use crate::control_store::FeedPage;
-use crate::era_tracker::EraOfAnswer;
+use crate::era_tracker::EraComparison;
 use crate::era_tracker::EraTracker;
 use crate::log_limit::LogLimit;
 use crate::state::GatewayState;
@@ -100,10 +100,10 @@
     /// Whether an answer is taken in, by its era. The store may have come back from a copy.
     fn is_believed(&mut self, version: StoreVersion) -> bool {
         match self.eras.read(self.state.now(), version) {
-            EraOfAnswer::Known => {}
-            EraOfAnswer::Later(before) => self.came_back(before, version),
-            EraOfAnswer::Back(newest) => self.log_earlier_era(version, newest, false),
-            EraOfAnswer::Late(newest) => {
+            EraComparison::Current => {}
+            EraComparison::Advanced(before) => self.came_back(before, version),
+            EraComparison::Reverted(newest) => self.log_earlier_era(version, newest, false),
+            EraComparison::Stale(newest) => {
                 self.log_earlier_era(version, newest, true);
                 return false;
             }
--- a/tests/all/decisions/era_tracker.rs
+++ b/tests/all/decisions/era_tracker.rs
@@ -4,7 +4,7 @@
 
 use stallhoist_core::StoreEra;
 use stallhoist_core::StoreVersion;
-use stallhoist_gateway::era_tracker::EraOfAnswer;
+use stallhoist_gateway::era_tracker::EraComparison;
 use stallhoist_gateway::era_tracker::EraTracker;
 
 use super::at_ms;
@@ -26,29 +26,33 @@
     };
 }
 
-last_is!(the_first_is_the_known_one, [version(7, 3)], EraOfAnswer::Known);
-last_is!(an_older_one_of_the_same_era, [version(7, 3), version(7, 2)], EraOfAnswer::Known);
+last_is!(the_first_is_the_known_one, [version(7, 3)], EraComparison::Current);
+last_is!(an_older_one_of_the_same_era, [version(7, 3), version(7, 2)], EraComparison::Current);
 last_is!(
     the_store_has_come_back,
     [version(7, 9), version(8, 2)],
-    EraOfAnswer::Later(version(7, 9))
+    EraComparison::Advanced(version(7, 9))
 );
-last_is!(it_has_come_back_twice, [version(0, 9), version(2, 1)], EraOfAnswer::Later(version(0, 9)));
-last_is!(once_it_is_known, [version(7, 9), version(8, 2), version(8, 1)], EraOfAnswer::Known);
+last_is!(
+    it_has_come_back_twice,
+    [version(0, 9), version(2, 1)],
+    EraComparison::Advanced(version(0, 9))
+);
+last_is!(once_it_is_known, [version(7, 9), version(8, 2), version(8, 1)], EraComparison::Current);
 last_is!(
     a_late_one,
     [version(7, 9), version(8, 2), version(7, 10)],
-    EraOfAnswer::Late(version(8, 2))
+    EraComparison::Stale(version(8, 2))
 );
 
 #[test]
 fn one_that_comes_for_long_is_believed() {
     let mut watch = EraTracker::default();
     watch.read(at_ms(0), version(8, 2));
-    assert_eq!(watch.read(at_ms(1_000), version(0, 5)), EraOfAnswer::Late(version(8, 2)));
-    assert_eq!(watch.read(at_ms(10_999), version(0, 5)), EraOfAnswer::Late(version(8, 2)));
-    assert_eq!(watch.read(at_ms(11_000), version(0, 5)), EraOfAnswer::Back(version(8, 2)));
-    assert_eq!(watch.read(at_ms(11_001), version(0, 6)), EraOfAnswer::Known);
+    assert_eq!(watch.read(at_ms(1_000), version(0, 5)), EraComparison::Stale(version(8, 2)));
+    assert_eq!(watch.read(at_ms(10_999), version(0, 5)), EraComparison::Stale(version(8, 2)));
+    assert_eq!(watch.read(at_ms(11_000), version(0, 5)), EraComparison::Reverted(version(8, 2)));
+    assert_eq!(watch.read(at_ms(11_001), version(0, 6)), EraComparison::Current);
 }
 
 #[test]
@@ -57,7 +61,7 @@
     watch.read(at_ms(0), version(8, 2));
     watch.read(at_ms(1_000), version(7, 5));
     watch.read(at_ms(2_000), version(8, 3));
-    assert_eq!(watch.read(at_ms(12_000), version(7, 5)), EraOfAnswer::Late(version(8, 3)));
+    assert_eq!(watch.read(at_ms(12_000), version(7, 5)), EraComparison::Stale(version(8, 3)));
 }
 
 #[test]
