--- a/crates/gateway/src/era_tracker.rs
+++ b/crates/gateway/src/era_tracker.rs
@@ -28,14 +28,14 @@
     /// The newest version that was heard of; none before the first.
     newest: Option<StoreVersion>,
     /// The store has come back from a copy: until then what is missing there may be written again.
-    unsettled_until: Option<MonoTime>,
+    grace_until: Option<MonoTime>,
     /// Since when only answers of an earlier era have come.
     late_since: Option<MonoTime>,
 }
 
 impl EraTracker {
     /// A whole feed was read at a version.
-    pub fn read(&mut self, now: MonoTime, version: StoreVersion) -> EraComparison {
+    pub fn record_read(&mut self, now: MonoTime, version: StoreVersion) -> EraComparison {
         let Some(newest) = self.newest.replace(version) else {
             return EraComparison::Current;
         };
@@ -55,7 +55,7 @@
     }
 
     /// Changes came, up to a version.
-    pub fn followed(&mut self, version: StoreVersion) {
+    pub fn record_follow(&mut self, version: StoreVersion) {
         self.newest = self.newest.max(Some(version));
     }
 
@@ -70,13 +70,13 @@
     }
 
     /// For so long what is known goes before what the store has.
-    pub fn unsettled_for(&mut self, now: MonoTime, time: Duration) {
-        self.unsettled_until = Some(now.after(time));
+    pub fn begin_grace(&mut self, now: MonoTime, time: Duration) {
+        self.grace_until = Some(now.after(time));
     }
 
     /// For how much longer that is so; none if it is not.
-    pub fn unsettled_left(&self, now: MonoTime) -> Option<Duration> {
-        let left = self.unsettled_until?.since(now);
+    pub fn grace_left(&self, now: MonoTime) -> Option<Duration> {
+        let left = self.grace_until?.since(now);
         (!left.is_zero()).then_some(left)
     }
 }
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -62,7 +62,7 @@
     };
     loop {
         let page = follower.read_until_read().await;
-        match follower.eras.unsettled_left(follower.state.now()) {
+        match follower.eras.grace_left(follower.state.now()) {
             Some(left) => follower.take_new_and_follow(page, left).await,
             None => follower.take_and_follow(page).await,
         }
@@ -99,7 +99,7 @@
 
     /// Whether an answer is taken in, by its era. The store may have come back from a copy.
     fn is_believed(&mut self, version: StoreVersion) -> bool {
-        match self.eras.read(self.state.now(), version) {
+        match self.eras.record_read(self.state.now(), version) {
             EraComparison::Current => {}
             EraComparison::Advanced(before) => self.came_back(before, version),
             EraComparison::Reverted(newest) => self.log_earlier_era(version, newest, false),
@@ -132,8 +132,8 @@
         );
         let now = self.state.now();
         match self.feed {
-            Feed::Operators => self.eras.unsettled_for(now, WRITTEN_AGAIN_WITHIN),
-            Feed::Members => self.eras.unsettled_for(now, LISTED_AGAIN_WITHIN),
+            Feed::Operators => self.eras.begin_grace(now, WRITTEN_AGAIN_WITHIN),
+            Feed::Members => self.eras.begin_grace(now, LISTED_AGAIN_WITHIN),
             // It is listed again by what was read if its row is there, else by itself.
             Feed::Entries => self.state.peers.lock().own_row_is_gone(),
             // What the system writes, nobody writes again but the entries.
@@ -179,7 +179,7 @@
                     self.reached();
                     failures = pauses();
                     after = page.version;
-                    self.eras.followed(after);
+                    self.eras.record_follow(after);
                     let has_changes = !page.rows.is_empty();
                     self.take_changes(page);
                     if has_changes {
