--- a/crates/gateway/src/request/execution/break_off.rs
+++ b/crates/gateway/src/request/execution/break_off.rs
@@ -34,7 +34,7 @@
             state.upstreams.observe(now, start, Evidence::Ended);
             state.fatal.record_crash(now, self.call.fingerprint(), start);
             state.confirm_termination(start);
-        } else if cause.may_show_later() && !state.suspend_recovery.is_catching_up() {
+        } else if cause.may_show_later() && !state.suspend_recovery.is_resyncing() {
             state.fatal.record_broken_stream(state.now(), self.call.fingerprint(), start);
         }
         self.log_break(start, has_ended);
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -194,7 +194,7 @@
         let has_lists = self.has_members.load(Ordering::SeqCst)
             && self.has_fatal_requests.load(Ordering::SeqCst)
             && self.has_limits.load(Ordering::SeqCst);
-        has_lists && self.config.read().is_some() && !self.suspend_recovery.is_catching_up()
+        has_lists && self.config.read().is_some() && !self.suspend_recovery.is_resyncing()
     }
 
     /// News of a feed came.
--- a/crates/gateway/src/suspend_recovery.rs
+++ b/crates/gateway/src/suspend_recovery.rs
@@ -25,12 +25,12 @@
 
 /// What has not been heard again since the host was suspended, and until when that matters.
 #[derive(Debug, Default)]
-pub struct CatchingUp {
+pub struct ResyncState {
     missing: Vec<Feed>,
     until: MonoTime,
 }
 
-impl CatchingUp {
+impl ResyncState {
     /// The host has been awake since this moment.
     pub fn since(woken: MonoTime) -> Self {
         Self { missing: NEEDED.to_vec(), until: woken.after(HEARD_WITHIN) }
@@ -50,7 +50,7 @@
 #[derive(Debug, Default)]
 struct Shared {
     watch: SuspensionWatch,
-    catching_up: CatchingUp,
+    catching_up: ResyncState,
     suspensions: u64,
 }
 
@@ -74,7 +74,7 @@
             return shared.suspensions;
         };
         shared.suspensions += 1;
-        shared.catching_up = CatchingUp::since(self.clock.now());
+        shared.catching_up = ResyncState::since(self.clock.now());
         let suspensions = shared.suspensions;
         drop(shared);
         log::warn!(
@@ -91,7 +91,7 @@
     }
 
     /// Whether requests have to wait until news are here.
-    pub(crate) fn is_catching_up(&self) -> bool {
+    pub(crate) fn is_resyncing(&self) -> bool {
         self.look();
         self.shared.lock().catching_up.is_needed(self.clock.now())
     }
--- a/tests/all/gateway/suspension.rs
+++ b/tests/all/gateway/suspension.rs
@@ -13,7 +13,7 @@
 use stallhoist_core::MonoTime;
 use stallhoist_gateway::Gateway;
 use stallhoist_gateway::control_store::Feed;
-use stallhoist_gateway::suspend_recovery::CatchingUp;
+use stallhoist_gateway::suspend_recovery::ResyncState;
 use stallhoist_settings::GatewaySettings;
 use stallhoist_standins::Direction;
 use stallhoist_standins::FaultProxy;
@@ -166,7 +166,7 @@
 
 #[test]
 fn an_entry_catches_up_until_it_has_heard_of_both() {
-    let mut catching_up = CatchingUp::since(at_ms(0));
+    let mut catching_up = ResyncState::since(at_ms(0));
     assert!(catching_up.is_needed(at_ms(0)));
     catching_up.mark_received(Feed::Entries);
     catching_up.mark_received(Feed::Operators);
@@ -177,7 +177,7 @@
 
 #[test]
 fn it_waits_no_longer_than_it_must() {
-    let catching_up = CatchingUp::since(at_ms(0));
+    let catching_up = ResyncState::since(at_ms(0));
     assert!(catching_up.is_needed(at_ms(2_999)));
     assert!(!catching_up.is_needed(at_ms(3_000)));
 }
