--- a/crates/gateway/src/callers/handler.rs
+++ b/crates/gateway/src/callers/handler.rs
@@ -71,7 +71,7 @@
 /// Checks a request and reads its body.
 async fn accept(state: &GatewayState, request: Request<Incoming>) -> Result<Call, Rejection> {
     let arrived = state.now();
-    wait_until_informed(state).await?;
+    wait_until_synced(state).await?;
     let config = state.config().ok_or(Rejection::NotInformed)?;
     let (parts, body) = request.into_parts();
     if head_bytes(&parts) > config.bounds.max_header_bytes {
@@ -113,11 +113,11 @@
 
 /// Waits until enough is known to decide about requests. A process that stops may end before
 /// that, and would cut those that wait.
-async fn wait_until_informed(state: &GatewayState) -> Result<(), Rejection> {
-    if !state.is_informed() && state.is_leaving() {
+async fn wait_until_synced(state: &GatewayState) -> Result<(), Rejection> {
+    if !state.is_synced() && state.is_leaving() {
         return Err(Rejection::Stopping);
     }
-    if state.wait_until_informed(WAIT_UNTIL_INFORMED).await {
+    if state.wait_until_synced(WAIT_UNTIL_INFORMED).await {
         return Ok(());
     }
     Err(Rejection::NotInformed)
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -75,7 +75,7 @@
     /// The planned stop that is under way.
     stop: Mutex<Option<PlannedStop>>,
     in_progress: AtomicUsize,
-    informed: Notify,
+    sync_changed: Notify,
     /// How often the platform was told that callers should not be sent here.
     not_ready_answers: AtomicUsize,
 }
@@ -114,7 +114,7 @@
             has_limits: AtomicBool::new(false),
             stop: Mutex::new(None),
             in_progress: AtomicUsize::new(0),
-            informed: Notify::new(),
+            sync_changed: Notify::new(),
             not_ready_answers: AtomicUsize::new(0),
             settings,
             dialect,
@@ -147,13 +147,13 @@
         self.upstreams.set_cold_services(cold.collect());
         *current = Some(config);
         drop(current);
-        self.informed.notify_waiters();
+        self.sync_changed.notify_waiters();
     }
 
     /// The list of upstreams has been read.
     pub(crate) fn set_has_members(&self) {
         self.has_members.store(true, Ordering::SeqCst);
-        self.informed.notify_waiters();
+        self.sync_changed.notify_waiters();
     }
 
     /// The store was heard of in an era.
@@ -180,17 +180,17 @@
     /// It is known which requests are held back, or has been waited for long enough.
     pub(crate) fn set_has_fatal_requests(&self) {
         self.has_fatal_requests.store(true, Ordering::SeqCst);
-        self.informed.notify_waiters();
+        self.sync_changed.notify_waiters();
     }
 
     /// It is known which limits of upstreams hold, or has been waited for long enough.
     pub(crate) fn set_has_limits(&self) {
         self.has_limits.store(true, Ordering::SeqCst);
-        self.informed.notify_waiters();
+        self.sync_changed.notify_waiters();
     }
 
     /// Whether enough is known to decide about requests.
-    pub(crate) fn is_informed(&self) -> bool {
+    pub(crate) fn is_synced(&self) -> bool {
         let has_lists = self.has_members.load(Ordering::SeqCst)
             && self.has_fatal_requests.load(Ordering::SeqCst)
             && self.has_limits.load(Ordering::SeqCst);
@@ -200,21 +200,21 @@
     /// News of a feed came.
     pub(crate) fn mark_received(&self, feed: Feed) {
         self.suspend_recovery.mark_received(feed);
-        self.informed.notify_waiters();
+        self.sync_changed.notify_waiters();
     }
 
     /// Waits until enough is known, for `longest` at most. Says whether it is.
-    pub(crate) async fn wait_until_informed(&self, longest: Duration) -> bool {
-        let informed = async {
+    pub(crate) async fn wait_until_synced(&self, longest: Duration) -> bool {
+        let sync_changed = async {
             loop {
-                let notified = self.informed.notified();
-                if self.is_informed() {
+                let notified = self.sync_changed.notified();
+                if self.is_synced() {
                     return;
                 }
                 notified.await;
             }
         };
-        tokio::time::timeout(longest, informed).await.is_ok()
+        tokio::time::timeout(longest, sync_changed).await.is_ok()
     }
 
     /// Answers the platform's question whether callers should be sent here.
@@ -233,7 +233,7 @@
 
     /// Whether callers should be sent here.
     pub(crate) fn is_ready(&self) -> bool {
-        self.is_informed() && !self.is_leaving()
+        self.is_synced() && !self.is_leaving()
     }
 
     /// Whether a stop has been asked for.
