--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/answer.rs
@@ -7,7 +7,7 @@
 use stallhoist_core::StoreEra;
 use stallhoist_core::StoreVersion;
 
-use super::feed_copies::FeedCopies;
+use super::feed_cache::FeedCache;
 use super::messages::Ask;
 use super::messages::EndOf;
 use super::messages::HeldRow;
@@ -131,7 +131,7 @@
     /// Packs large rows by themselves, as differences to what the one that has asked holds of
     /// them, and then all rows together: a list of 3,000 upstreams has as many short rows that
     /// are much alike.
-    pub(super) fn pack(&mut self, feed: Feed, ask: &Ask, copies: &FeedCopies) {
+    pub(super) fn pack(&mut self, feed: Feed, ask: &Ask, feed_cache: &FeedCache) {
         if !ask.is_unpacking {
             return;
         }
@@ -143,7 +143,7 @@
             let held = held.iter().find(|held| held.key == row.key);
             let held = held.map(|held| StoreVersion { era, number: held.version });
             let version = StoreVersion { era, number: row.version };
-            let pack = copies.pack_for(feed, &row.key, version, held);
+            let pack = feed_cache.pack_for(feed, &row.key, version, held);
             let Some((pack, bytes)) = pack.and_then(|pack| pack.packed().map(|b| (pack, b))) else {
                 continue;
             };
@@ -160,7 +160,7 @@
         let version = StoreVersion { era, number: self.version };
         let pack_rows = || pack(&rows.encode_to_vec(), None);
         let packed =
-            if is_whole { copies.packed_whole(feed, version, pack_rows) } else { pack_rows() };
+            if is_whole { feed_cache.packed_whole(feed, version, pack_rows) } else { pack_rows() };
         match packed {
             Ok(packed) => self.packed_rows = Some(packed),
             Err(error) => {
@@ -174,17 +174,17 @@
     ///
     /// # Errors
     /// Fails when one cannot be unpacked, or is the difference to a value that is not held.
-    pub(super) fn unpack(&mut self, feed: Feed, copies: &FeedCopies) -> io::Result<()> {
+    pub(super) fn unpack(&mut self, feed: Feed, feed_cache: &FeedCache) -> io::Result<()> {
         if let Some(packed) = self.packed_rows.take() {
             let rows = Rows::decode(unpack(&packed, None)?);
             self.rows = rows.map_err(io::Error::other)?.rows;
         }
-        let era = self.era(copies.era(feed));
+        let era = self.era(feed_cache.era(feed));
         for row in &mut self.rows {
             let Some(packed) = row.packed.take() else {
                 continue;
             };
-            let held = |number| copies.value(feed, &row.key, StoreVersion { era, number });
+            let held = |number| feed_cache.value(feed, &row.key, StoreVersion { era, number });
             let base = packed.base_version.map(|version| {
                 held(version).ok_or_else(|| io::Error::other("its base is not held"))
             });
--- a/crates/gateway/src/peers/feed_copies.rs
+++ b/crates/gateway/src/peers/feed_cache.rs
@@ -16,9 +16,9 @@
 use tokio::sync::Notify;
 use tokio::sync::futures::Notified;
 
-use super::row_copy::BaseVersion;
-use super::row_copy::LazyPack;
-use super::row_copy::RowCopy;
+use super::cached_row::BaseVersion;
+use super::cached_row::LazyPack;
+use super::cached_row::RowCopy;
 use crate::control_store::ControlStoreError;
 use crate::control_store::Feed;
 use crate::control_store::FeedPage;
@@ -30,7 +30,7 @@
 const FRESH_FOR: Duration = Duration::from_millis(1_500);
 
 /// The feed whose questions wait for a short time only, so that it shows that the store is reached.
-pub(super) const PROOF_FEED: Feed = Feed::Operators;
+pub(super) const LIVENESS_FEED: Feed = Feed::Operators;
 
 /// How long an entry counts as asked by others after a question.
 const ASKED_FOR: Duration = Duration::from_secs(5);
@@ -58,9 +58,9 @@
 
 impl FeedCopy {
     /// A row is so now.
-    fn set(&mut self, row: FeedRow, is_asked: bool) {
+    fn set(&mut self, row: FeedRow, is_polled: bool) {
         match self.rows.entry(row.key.clone()) {
-            Entry::Occupied(known) => known.into_mut().change(row, is_asked),
+            Entry::Occupied(known) => known.into_mut().change(row, is_polled),
             Entry::Vacant(new) => {
                 new.insert(RowCopy::new(row));
             }
@@ -101,7 +101,7 @@
         let fresh_for = if feed == Feed::Entries { Duration::MAX } else { FRESH_FOR };
         let from_store = |feed| self.by_feed.get(&feed).filter(|c| c.origin == Origin::Store);
         let read_at = from_store(feed)?.read_at;
-        let shown_at = from_store(PROOF_FEED).filter(|_| self.waiting.contains(&feed));
+        let shown_at = from_store(LIVENESS_FEED).filter(|_| self.waiting.contains(&feed));
         let shown_at = shown_at.map_or(read_at, |proof| proof.read_at.max(read_at));
         Some(shown_at.after(fresh_for))
     }
@@ -110,14 +110,14 @@
         self.fresh_until(feed).is_some_and(|until| now <= until)
     }
 
-    fn is_asked(&self, now: MonoTime) -> bool {
+    fn is_polled(&self, now: MonoTime) -> bool {
         self.asked_at.is_some_and(|at| now.since(at) < ASKED_FOR)
     }
 }
 
 /// Copies of the feeds that this entry follows at the store.
 #[derive(Debug, Default)]
-pub struct FeedCopies {
+pub struct FeedCache {
     copies: Mutex<Copies>,
     /// All rows of a feed at a version, packed: all entries that start at once ask for the same.
     packed_wholes: Mutex<HashMap<Feed, (StoreVersion, Bytes)>>,
@@ -127,17 +127,17 @@
 /// A question about the next change of a feed waits at the store.
 #[derive(Debug)]
 pub(super) struct Waiting<'a> {
-    copies: &'a FeedCopies,
+    copies: &'a FeedCache,
     feed: Feed,
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.copies.set_waiting(self.feed, false);
+        self.copies.set_following(self.feed, false);
     }
 }
 
-impl FeedCopies {
+impl FeedCache {
     /// The whole feed was read.
     pub fn replace(&self, now: MonoTime, feed: Feed, page: &FeedPage, origin: Origin) {
         let copy = FeedCopy { complete_since: page.version, ..FeedCopy::default() };
@@ -148,12 +148,12 @@
     /// Changes came. Without the rows before them they are of no use.
     pub fn extend(&self, now: MonoTime, feed: Feed, page: &FeedPage, origin: Origin) {
         let mut copies = self.copies.lock();
-        let is_asked = copies.is_asked(now);
+        let is_polled = copies.is_polled(now);
         let Some(copy) = copies.by_feed.get_mut(&feed) else {
             return;
         };
         for row in &page.rows {
-            copy.set(row.clone(), is_asked);
+            copy.set(row.clone(), is_polled);
         }
         copy.version = page.version;
         copy.store_now_ms = page.store_now_ms;
@@ -181,7 +181,7 @@
     }
 
     /// A question about the next change of a feed waits at the store from now on, or no longer.
-    pub fn set_waiting(&self, feed: Feed, is_waiting: bool) {
+    pub fn set_following(&self, feed: Feed, is_waiting: bool) {
         let mut copies = self.copies.lock();
         if is_waiting {
             copies.waiting.insert(feed);
@@ -192,18 +192,18 @@
 
     /// The same, until the guard is dropped.
     pub(super) fn wait(&self, feed: Feed) -> Waiting<'_> {
-        self.set_waiting(feed, true);
+        self.set_following(feed, true);
         Waiting { copies: self, feed }
     }
 
     /// Another entry asks.
-    pub fn asked(&self, now: MonoTime) {
+    pub fn record_poll(&self, now: MonoTime) {
         self.copies.lock().asked_at = Some(now);
     }
 
     /// Whether others have asked lately: then the copies must be kept fresh.
-    pub fn is_asked(&self, now: MonoTime) -> bool {
-        self.copies.lock().is_asked(now)
+    pub fn is_polled(&self, now: MonoTime) -> bool {
+        self.copies.lock().is_polled(now)
     }
 
     /// All rows of a feed, or the changes after a version; none when there is no fresh copy.
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -16,17 +16,17 @@
 
 mod answer;
 mod asked;
+mod cached_row;
 mod connection;
 mod ends;
 mod evidence;
-mod feed_copies;
+mod feed_cache;
 mod limits;
 mod list;
 mod messages;
 mod packing;
 mod relayed_store;
 mod route;
-mod row_copy;
 mod seeds;
 mod server;
 mod standings;
@@ -38,8 +38,8 @@
 
 pub(crate) use asked::follows_store;
 pub(crate) use evidence::tell_relays;
-pub use feed_copies::FeedCopies;
-pub use feed_copies::Origin;
+pub use feed_cache::FeedCache;
+pub use feed_cache::Origin;
 pub(crate) use limits::learn_limits;
 pub use list::PeerList;
 pub use packing::pack;
--- a/crates/gateway/src/peers/relayed_store.rs
+++ b/crates/gateway/src/peers/relayed_store.rs
@@ -27,8 +27,8 @@
 use super::evidence::kept_sessions;
 use super::evidence::own_evidence;
 use super::evidence::take_sessions;
-use super::feed_copies::Origin;
-use super::feed_copies::PROOF_FEED;
+use super::feed_cache::LIVENESS_FEED;
+use super::feed_cache::Origin;
 use super::messages::Ask;
 use super::messages::HeldRow;
 use super::messages::feed_number;
@@ -190,7 +190,7 @@
         match self.ask_peer(route, addr, feed, after).await {
             Ok(arrived) if !arrived.answer.has_copy => None,
             Ok(Arrived { answer, travelled_bytes }) => {
-                let page = answer.into_page(self.state.copies.era(feed));
+                let page = answer.into_page(self.state.feed_cache.era(feed));
                 let bytes = page.as_ref().map_or(0, FeedPage::value_bytes);
                 self.received(feed, Origin::OtherEntry, bytes, travelled_bytes);
                 Some(page)
@@ -211,9 +211,9 @@
     fn keep(&self, feed: Feed, page: &FeedPage, is_whole: bool, origin: Origin) {
         let now = self.state.now();
         if is_whole {
-            self.state.copies.replace(now, feed, page, origin);
+            self.state.feed_cache.replace(now, feed, page, origin);
         } else {
-            self.state.copies.extend(now, feed, page, origin);
+            self.state.feed_cache.extend(now, feed, page, origin);
         }
     }
 
@@ -248,7 +248,7 @@
         let mut answer = exchange(&mut connection, &ask, wait + slack).await?;
         route.connection = Some((addr, connection));
         let travelled_bytes = answer.encoded_len();
-        answer.unpack(feed, &self.state.copies).map_err(PeerError::Unpackable)?;
+        answer.unpack(feed, &self.state.feed_cache).map_err(PeerError::Unpackable)?;
         take_sessions(&self.state, &answer.sessions);
         take_times(&self.state, &answer.times);
         take_ends(&self.state, &answer.ends);
@@ -279,7 +279,7 @@
     ) -> Result<FeedPage, ControlStoreError> {
         let is_away =
             matches!(&answer, Err(error) if !matches!(error, ControlStoreError::HistoryGone));
-        if feed == PROOF_FEED {
+        if feed == LIVENESS_FEED {
             *self.store_away.lock() = is_away.then(|| self.state.now());
         }
         if let Some(route) = self.routes.get(&feed).filter(|_| is_away) {
@@ -296,7 +296,7 @@
     fn is_store_away(&self, feed: Feed) -> bool {
         let failed = *self.store_away.lock();
         let is_recent = failed.is_some_and(|at| self.state.now().since(at) < STORE_AWAY_FOR);
-        feed != PROOF_FEED && is_recent && !follows_store(&self.state)
+        feed != LIVENESS_FEED && is_recent && !follows_store(&self.state)
     }
 
     /// Keeps what the store itself has answered.
@@ -309,12 +309,12 @@
 
     /// The store's era by which a feed is known.
     fn era(&self, feed: Feed, after: Option<StoreVersion>) -> StoreEra {
-        after.map_or_else(|| self.state.copies.era(feed), |after| after.era)
+        after.map_or_else(|| self.state.feed_cache.era(feed), |after| after.era)
     }
 
     /// The large rows that are held of a feed.
     fn held(&self, feed: Feed) -> Vec<HeldRow> {
-        let held = self.state.copies.held(feed).into_iter();
+        let held = self.state.feed_cache.held(feed).into_iter();
         held.map(|(key, version)| HeldRow { key, version: version.number }).collect()
     }
 
@@ -356,16 +356,16 @@
             let cause = "it does not answer about other feeds".to_owned();
             return Err(ControlStoreError::NotReached(cause));
         }
-        let is_asked = self.state.copies.is_asked(self.state.now());
-        if is_asked && !self.state.copies.has(feed) {
+        let is_polled = self.state.feed_cache.is_polled(self.state.now());
+        if is_polled && !self.state.feed_cache.has(feed) {
             // Others need this entry's news, and it has only followed changes so far.
             return Err(ControlStoreError::HistoryGone);
         }
-        let is_proof = is_asked && feed == PROOF_FEED;
+        let is_proof = is_polled && feed == LIVENESS_FEED;
         let wait = if is_proof { wait.min(FRESH_WAIT) } else { wait };
-        let is_reached = self.state.copies.is_from_store(feed);
+        let is_reached = self.state.feed_cache.is_from_store(feed);
         let wait = if is_reached { wait } else { wait.min(FIRST_DIRECT_WAIT) };
-        let waiting = self.state.copies.wait(feed);
+        let waiting = self.state.feed_cache.wait(feed);
         let page = self.store.follow(feed, after, wait).await;
         drop(waiting);
         let page = self.answered_by_store(feed, page).await?;
--- a/crates/gateway/src/peers/seeds.rs
+++ b/crates/gateway/src/peers/seeds.rs
@@ -10,7 +10,7 @@
 use super::answer::Answer;
 use super::connection::PeerError;
 use super::connection::ask_once;
-use super::feed_copies::Origin;
+use super::feed_cache::Origin;
 use super::messages::Ask;
 use super::messages::feed_number;
 use crate::control_store::Feed;
@@ -27,7 +27,7 @@
 
 /// What the seeds knew last of a feed that was never read here; none when no seed knows.
 pub(super) async fn ask_seeds(state: &GatewayState, feed: Feed) -> Option<FeedPage> {
-    if state.copies.has(feed) {
+    if state.feed_cache.has(feed) {
         return None;
     }
     for addr in seeds(&state.settings) {
@@ -51,6 +51,6 @@
         Ask { feed: feed_number(feed), is_any_age: true, is_unpacking: true, ..Ask::default() };
     let mut answer = ask_once(addr, &ask, BEGINS_WITHIN).await?;
     state.metrics.news_received(Origin::OtherEntry, answer.encoded_len());
-    answer.unpack(feed, &state.copies).map_err(PeerError::Unpackable)?;
+    answer.unpack(feed, &state.feed_cache).map_err(PeerError::Unpackable)?;
     Ok(answer)
 }
--- a/crates/gateway/src/peers/server.rs
+++ b/crates/gateway/src/peers/server.rs
@@ -137,16 +137,16 @@
     };
     let now = state.now();
     if ask.is_any_age {
-        let known = state.copies.last_known(now, feed);
+        let known = state.feed_cache.last_known(now, feed);
         let mut answer = known.map_or_else(Answer::default, Answer::of);
-        answer.pack(feed, &ask, &state.copies);
+        answer.pack(feed, &ask, &state.feed_cache);
         return answer;
     }
-    state.copies.asked(now);
+    state.feed_cache.record_poll(now);
     let until = now.after(Duration::from_millis(ask.wait_ms).min(MAX_WAIT));
     let after = ask.after.map(|number| StoreVersion { era: era_of(state, feed, &ask), number });
     let mut answer = page(state, feed, after, until).await;
-    answer.pack(feed, &ask, &state.copies);
+    answer.pack(feed, &ask, &state.feed_cache);
     match feed {
         Feed::Rollouts => {
             Answer { sessions: kept_sessions(state, SessionScope::All), times, ..answer }
@@ -159,7 +159,7 @@
 /// The store's era by which the one that asks knows a feed. One of a former version tells none, and is
 /// taken to know the same as this entry.
 fn era_of(state: &GatewayState, feed: Feed, ask: &Ask) -> StoreEra {
-    ask.store_era.map_or_else(|| state.copies.era(feed), StoreEra)
+    ask.store_era.map_or_else(|| state.feed_cache.era(feed), StoreEra)
 }
 
 /// Waits until there is something to say.
@@ -170,9 +170,9 @@
     until: MonoTime,
 ) -> Answer {
     loop {
-        let changed = state.copies.changed();
+        let changed = state.feed_cache.changed();
         let now = state.now();
-        match state.copies.page(now, feed, after) {
+        match state.feed_cache.page(now, feed, after) {
             None if is_being_read(state, feed, now) && now < until => {}
             None => return Answer::default(),
             Some(Err(ControlStoreError::HistoryGone)) => {
@@ -189,7 +189,8 @@
         }
         // When the copy is no longer fresh, the one that asks is told so at once: it would
         // learn of a change a whole wait too late otherwise.
-        let fresh_until = state.copies.fresh_until(feed).filter(|fresh_until| now <= *fresh_until);
+        let fresh_until =
+            state.feed_cache.fresh_until(feed).filter(|fresh_until| now <= *fresh_until);
         let wait = fresh_until.map_or(until, |fresh_until| until.min(fresh_until)).since(now);
         let wait = wait + FRESHNESS_SLACK;
         let _ = tokio::time::timeout(wait, changed).await;
@@ -205,8 +206,8 @@
 /// everything, or takes the place of a seed: when all start together, those that ask it would ask
 /// the store instead.
 fn is_being_read(state: &GatewayState, feed: Feed, now: MonoTime) -> bool {
-    let is_fresh = |feed| state.copies.fresh_until(feed).is_some_and(|until| now <= until);
-    let will_follow_store = !state.copies.is_from_store(feed) && follows_store(state);
+    let is_fresh = |feed| state.feed_cache.fresh_until(feed).is_some_and(|until| now <= until);
+    let will_follow_store = !state.feed_cache.is_from_store(feed) && follows_store(state);
     let is_on_the_way = matches!(feed, Feed::Rollouts | Feed::FatalRequests);
     will_follow_store || (is_on_the_way && is_fresh(Feed::Operators))
 }
--- a/crates/gateway/src/peers/starting.rs
+++ b/crates/gateway/src/peers/starting.rs
@@ -64,8 +64,8 @@
         }
         let listed = async {
             loop {
-                let changed = self.state.copies.changed();
-                if self.state.copies.has(Feed::Entries) {
+                let changed = self.state.feed_cache.changed();
+                if self.state.feed_cache.has(Feed::Entries) {
                     return;
                 }
                 changed.await;
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -265,7 +265,7 @@
     let mut pause = FIRST_ANNOUNCE_EVERY;
     loop {
         tokio::time::sleep(pause).await;
-        if !state.is_synced() || !state.copies.has(Feed::Entries) {
+        if !state.is_synced() || !state.feed_cache.has(Feed::Entries) {
             continue;
         }
         pause = ANNOUNCE_EVERY;
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -29,7 +29,7 @@
 use crate::dialect::Dialect;
 use crate::fatal::FatalBook;
 use crate::metrics::Metrics;
-use crate::peers::FeedCopies;
+use crate::peers::FeedCache;
 use crate::peers::PeerList;
 use crate::planned_stop::PlannedStop;
 use crate::planned_stop::Work;
@@ -61,7 +61,7 @@
     /// Where the news of each feed came from last; none means the store.
     pub(crate) news_from: Mutex<BTreeMap<Feed, Option<SocketAddr>>>,
     /// What this entry has read of the store, for others that ask.
-    pub(crate) copies: FeedCopies,
+    pub(crate) feed_cache: FeedCache,
     pub(crate) metrics: Metrics,
     pub(crate) decisions: DecisionLog,
     pub(crate) suspend_recovery: SuspendRecovery,
@@ -101,7 +101,7 @@
             step_up: StepUpConfig { below_confidence },
             peers: Mutex::new(PeerList::new(settings.host.id.clone(), settings.host.zone.clone())),
             news_from: Mutex::default(),
-            copies: FeedCopies::default(),
+            feed_cache: FeedCache::default(),
             metrics: Metrics::default(),
             decisions: DecisionLog::default(),
             suspend_recovery: SuspendRecovery::new(clock.clone()),
--- a/tests/all/decisions/peers.rs
+++ b/tests/all/decisions/peers.rs
@@ -11,7 +11,7 @@
 use stallhoist_gateway::control_store::FeedPage;
 use stallhoist_gateway::control_store::FeedRow;
 use stallhoist_gateway::control_store::ListedEntry;
-use stallhoist_gateway::peers::FeedCopies;
+use stallhoist_gateway::peers::FeedCache;
 use stallhoist_gateway::peers::Origin;
 use stallhoist_gateway::peers::PeerList;
 
@@ -194,8 +194,8 @@
 }
 
 /// A copy read at version 10 with rows a and b; at 12 a was removed.
-fn copies() -> FeedCopies {
-    let copies = FeedCopies::default();
+fn copies() -> FeedCache {
+    let copies = FeedCache::default();
     let whole = page(vec![row("a", 4, true), row("b", 9, true)], 10);
     copies.replace(at_ms(0), Feed::Members, &whole, Origin::Store);
     copies.extend(at_ms(100), Feed::Members, &page(vec![row("a", 12, false)], 12), Origin::Store);
@@ -233,7 +233,7 @@
 
 #[test]
 fn changes_since_an_earlier_era_are_gone() {
-    let copies = FeedCopies::default();
+    let copies = FeedCache::default();
     let whole = FeedPage { version: later(5), ..page(vec![row("a", 4, true)], 0) };
     copies.replace(at_ms(0), Feed::Members, &whole, Origin::Store);
     let answer = copies.page(at_ms(1), Feed::Members, Some(StoreVersion::of(100)));
@@ -258,14 +258,14 @@
 }
 
 /// A copy as above, and one of what operators write that was read at this moment.
-fn copies_with_proof(proof_at_ms: u64) -> FeedCopies {
+fn copies_with_proof(proof_at_ms: u64) -> FeedCache {
     let copies = copies();
     let proof = page(Vec::new(), 12);
     copies.replace(at_ms(proof_at_ms), Feed::Operators, &proof, Origin::Store);
     copies
 }
 
-fn is_fresh(copies: &FeedCopies, ms: u64) -> bool {
+fn is_fresh(copies: &FeedCache, ms: u64) -> bool {
     copies.page(at_ms(ms), Feed::Members, None).is_some()
 }
 
@@ -275,16 +275,16 @@
 fn a_feed_that_is_waited_for_is_as_fresh_as_the_proof() {
     let copies = copies_with_proof(2_000);
     assert!(!is_fresh(&copies, 2_100), "nobody waits for it");
-    copies.set_waiting(Feed::Members, true);
+    copies.set_following(Feed::Members, true);
     assert!(is_fresh(&copies, 3_500) && !is_fresh(&copies, 3_501));
-    copies.set_waiting(Feed::Members, false);
+    copies.set_following(Feed::Members, false);
     assert!(!is_fresh(&copies, 2_100), "its question was not answered");
 }
 
 #[test]
 fn a_proof_from_another_entry_proves_nothing() {
     let copies = copies_with_proof(2_000);
-    copies.set_waiting(Feed::Members, true);
+    copies.set_following(Feed::Members, true);
     let told = page(Vec::new(), 13);
     copies.extend(at_ms(2_050), Feed::Operators, &told, Origin::OtherEntry);
     assert!(!is_fresh(&copies, 2_100));
@@ -292,23 +292,23 @@
 
 #[test]
 fn changes_without_the_rows_before_them_make_no_copy() {
-    let copies = FeedCopies::default();
+    let copies = FeedCache::default();
     copies.extend(at_ms(0), Feed::Members, &page(vec![row("a", 4, true)], 4), Origin::Store);
     assert!(!copies.has(Feed::Members));
 }
 
 #[test]
 fn others_count_for_a_while_after_their_question() {
-    let copies = FeedCopies::default();
-    assert!(!copies.is_asked(at_ms(0)));
-    copies.asked(at_ms(0));
-    assert!(copies.is_asked(at_ms(4_999)) && !copies.is_asked(at_ms(5_000)));
+    let copies = FeedCache::default();
+    assert!(!copies.is_polled(at_ms(0)));
+    copies.record_poll(at_ms(0));
+    assert!(copies.is_polled(at_ms(4_999)) && !copies.is_polled(at_ms(5_000)));
 }
 
 // What came from another entry may be old there: it is good for one that knows nothing.
 #[test]
 fn a_copy_from_another_entry_is_only_the_last_known() {
-    let copies = FeedCopies::default();
+    let copies = FeedCache::default();
     assert!(copies.last_known(at_ms(0), Feed::Members).is_none());
     let whole = page(vec![row("a", 4, true), row("b", 9, true)], 10);
     copies.replace(at_ms(0), Feed::Members, &whole, Origin::OtherEntry);
