--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -17,7 +17,7 @@
 
 /// Which model a caller asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ModelWish {
+pub enum RequestedModel {
     /// The request is not for a model.
     None,
     /// The system chooses among the route's models.
@@ -36,7 +36,7 @@
     /// The digest of its key.
     pub key: Option<KeyDigest>,
     /// Which model it asks for.
-    pub model: ModelWish,
+    pub model: RequestedModel,
     /// What it says of its prompt.
     pub prompt: Option<Prompt>,
     /// The session that the request belongs to.
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -19,8 +19,8 @@
 use super::Call;
 use super::WholeReply;
 use crate::dialect::AttemptHead;
-use crate::dialect::ModelWish;
 use crate::dialect::ReplyHead;
+use crate::dialect::RequestedModel;
 use crate::event_frames::EventBuffer;
 use crate::event_frames::EventFrames;
 use crate::metrics::AttemptResult;
@@ -344,7 +344,7 @@
     /// not believed where the caller named the model: any that the upstream does not have is
     /// answered with the same status.
     fn refusal(&self, status: StatusCode) -> Evidence {
-        let is_callers_model = matches!(self.call.head.model, ModelWish::Named(_));
+        let is_callers_model = matches!(self.call.head.model, RequestedModel::Named(_));
         if status == StatusCode::MISDIRECTED_REQUEST && !is_callers_model {
             return Evidence::Misdirected;
         }
--- a/crates/gateway/src/request/model_choice.rs
+++ b/crates/gateway/src/request/model_choice.rs
@@ -2,7 +2,7 @@
 
 use stallhoist_core::ModelName;
 
-use crate::dialect::ModelWish;
+use crate::dialect::RequestedModel;
 use crate::routing::Route;
 
 /// Which of a route's models is asked.
@@ -15,10 +15,10 @@
 
 impl ModelChoice {
     /// Begins with the smallest model.
-    pub(crate) fn new(route: &Route, wish: &ModelWish) -> Self {
+    pub(crate) fn new(route: &Route, wish: &RequestedModel) -> Self {
         let models = match wish {
-            ModelWish::Any => route.models.clone(),
-            ModelWish::None | ModelWish::Named(_) => Vec::new(),
+            RequestedModel::Any => route.models.clone(),
+            RequestedModel::None | RequestedModel::Named(_) => Vec::new(),
         };
         Self { models, at: 0 }
     }
