--- a/crates/gateway/src/control_store.rs
+++ b/crates/gateway/src/control_store.rs
@@ -24,7 +24,7 @@
 
 /// The longest that an answer may take in all, from the store or from another entry: it is judged
 /// by its progress before. One of 8 MB takes 6.7 s over a link of 10 Mbit/s that carries nothing else.
-pub const LONGEST_TRANSFER: Duration = Duration::from_secs(20);
+pub const MAX_TRANSFER_TIME: Duration = Duration::from_secs(20);
 
 /// What can be followed in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/crates/gateway/src/peers/connection.rs
+++ b/crates/gateway/src/peers/connection.rs
@@ -16,7 +16,7 @@
 use super::answer::Answer;
 use super::messages::Ask;
 use super::messages::MAX_MESSAGE_BYTES;
-use crate::control_store::LONGEST_TRANSFER;
+use crate::control_store::MAX_TRANSFER_TIME;
 use crate::tcp::SilenceLimits;
 use crate::tcp::tune;
 
@@ -80,7 +80,7 @@
 /// Sends an answer, as long as the one that asked takes it.
 pub(super) async fn send(connection: &mut Connection, answer: &Answer) -> Result<(), PeerError> {
     let sending = connection.send(Bytes::from(answer.encode_to_vec()));
-    let sent = tokio::time::timeout(LONGEST_TRANSFER, sending).await;
+    let sent = tokio::time::timeout(MAX_TRANSFER_TIME, sending).await;
     Ok(sent.map_err(|_| PeerError::TimedOut)??)
 }
 
@@ -92,7 +92,7 @@
 ) -> Result<Answer, PeerError> {
     let sending = connection.send(Bytes::from(ask.encode_to_vec()));
     tokio::time::timeout(begins_within, sending).await.map_err(|_| PeerError::TimedOut)??;
-    let receiving = tokio::time::timeout(LONGEST_TRANSFER, receive(connection, begins_within));
+    let receiving = tokio::time::timeout(MAX_TRANSFER_TIME, receive(connection, begins_within));
     receiving.await.map_err(|_| PeerError::TimedOut)?
 }
 
