--- a/crates/gateway/src/callers/accept.rs
+++ b/crates/gateway/src/callers/accept.rs
@@ -21,8 +21,8 @@
 use super::handler::handle;
 use crate::routing::CallerBounds;
 use crate::state::GatewayState;
-use crate::tcp::SilenceLimits;
-use crate::tcp::tune;
+use crate::tcp::TcpTimeouts;
+use crate::tcp::set_socket_options;
 
 /// A connection's buffer holds the largest head that a configuration may allow.
 const MAX_BUFFER_BYTES: usize = 64 << 10;
@@ -31,10 +31,10 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// When a caller is taken for gone.
-const CALLER_SILENCE: SilenceLimits = SilenceLimits {
-    probe_after: Duration::from_secs(2),
+const CALLER_SILENCE: TcpTimeouts = TcpTimeouts {
+    keepalive_idle: Duration::from_secs(2),
     probes: 3,
-    acknowledged_within: Duration::from_secs(5),
+    ack_timeout: Duration::from_secs(5),
 };
 
 /// The server that callers connect to.
@@ -108,7 +108,7 @@
 }
 
 async fn serve(stream: TcpStream, state: Arc<GatewayState>, mut closing: watch::Receiver<bool>) {
-    if let Err(error) = tune(&stream, CALLER_SILENCE) {
+    if let Err(error) = set_socket_options(&stream, CALLER_SILENCE) {
         log::debug!(error:% = error; "socket options of a caller's connection were not set");
     }
     let bounds = state.config().map_or_else(CallerBounds::default, |c| c.bounds.clone());
--- a/crates/gateway/src/peers/connection.rs
+++ b/crates/gateway/src/peers/connection.rs
@@ -17,8 +17,8 @@
 use super::messages::Ask;
 use super::messages::MAX_MESSAGE_BYTES;
 use crate::control_store::MAX_TRANSFER_TIME;
-use crate::tcp::SilenceLimits;
-use crate::tcp::tune;
+use crate::tcp::TcpTimeouts;
+use crate::tcp::set_socket_options;
 
 /// How long a connection to another entry may take to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
@@ -31,10 +31,10 @@
 
 /// When the host at the other end is taken for gone. The one that asks has shorter waits of its
 /// own; this ends what is kept for one that has gone without a word.
-const PEER_SILENCE: SilenceLimits = SilenceLimits {
-    probe_after: Duration::from_secs(2),
+const PEER_SILENCE: TcpTimeouts = TcpTimeouts {
+    keepalive_idle: Duration::from_secs(2),
     probes: 3,
-    acknowledged_within: Duration::from_secs(5),
+    ack_timeout: Duration::from_secs(5),
 };
 
 /// A connection whose messages carry their length.
@@ -72,7 +72,7 @@
 /// # Errors
 /// Fails when the connection has ended already.
 pub(super) fn framed(stream: TcpStream) -> Result<Connection, PeerError> {
-    tune(&stream, PEER_SILENCE)?;
+    set_socket_options(&stream, PEER_SILENCE)?;
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_codec();
     Ok(Framed::new(stream, codec))
 }
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -12,8 +12,8 @@
 use tokio::task::JoinHandle;
 
 use super::ConnectError;
-use crate::tcp::SilenceLimits;
-use crate::tcp::tune;
+use crate::tcp::TcpTimeouts;
+use crate::tcp::set_socket_options;
 
 /// An upstream whose connection is at rest for so long is probed.
 const PROBE_AFTER: Duration = Duration::from_secs(1);
@@ -60,12 +60,12 @@
         .await
         .map_err(|_| ConnectError::TimedOut)?
         .map_err(ConnectError::Refused)?;
-    let limits = SilenceLimits {
-        probe_after: PROBE_AFTER,
+    let limits = TcpTimeouts {
+        keepalive_idle: PROBE_AFTER,
         probes: PROBES,
-        acknowledged_within: settings.silence_timeout,
+        ack_timeout: settings.silence_timeout,
     };
-    tune(&stream, limits).map_err(ConnectError::Refused)?;
+    set_socket_options(&stream, limits).map_err(ConnectError::Refused)?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(ConnectError::Handshake)?;
     let driver = tokio::spawn(async move {
