--- a/crates/gateway/src/callers/handler.rs
+++ b/crates/gateway/src/callers/handler.rs
@@ -24,7 +24,7 @@
 use super::rejection::given_up;
 use crate::dialect::CallHead;
 use crate::metrics::RequestEnd;
-use crate::planned_stop::Work;
+use crate::planned_stop::ResponseShape;
 use crate::request::Call;
 use crate::request::Execution;
 use crate::request::GiveUp;
@@ -85,7 +85,7 @@
     let config = state.config().unwrap_or(config);
     let route = Arc::clone(find_route(&config, &parts).ok_or(Rejection::NoRoute)?);
     let workspace = find_workspace(&config, &route, &head)?;
-    if !state.takes(work_of(&route, &head)) {
+    if !state.accepts(work_of(&route, &head)) {
         return Err(Rejection::Stopping);
     }
     let service_name = route.destination(Call::unit(&head)).cloned().ok_or(Rejection::NoRoute)?;
@@ -157,11 +157,13 @@
 }
 
 /// What is known of how long a request takes.
-fn work_of(route: &Route, head: &CallHead) -> Work {
+fn work_of(route: &Route, head: &CallHead) -> ResponseShape {
     if !route.is_stream {
-        return Work::Call;
+        return ResponseShape::Call;
+    }
+    ResponseShape::Stream {
+        max_tokens: head.prompt.as_ref().map(|prompt| prompt.max_output_tokens),
     }
-    Work::Stream { max_tokens: head.prompt.as_ref().map(|prompt| prompt.max_output_tokens) }
 }
 
 async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Rejection> {
--- a/crates/gateway/src/planned_stop.rs
+++ b/crates/gateway/src/planned_stop.rs
@@ -25,7 +25,7 @@
 
 /// What is known of how long a request takes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Work {
+pub enum ResponseShape {
     /// It is answered whole.
     Call,
     /// It is answered with a stream; the most tokens, if the caller says.
@@ -35,7 +35,7 @@
     },
 }
 
-impl Work {
+impl ResponseShape {
     /// The most time that it is reckoned to take; none when that is not known.
     fn longest(self) -> Option<Duration> {
         match self {
@@ -62,7 +62,7 @@
     }
 
     /// Whether a new request is still taken.
-    pub fn takes(&self, now: MonoTime, work: Work) -> bool {
+    pub fn accepts(&self, now: MonoTime, work: ResponseShape) -> bool {
         if now < self.asked.after(TAKES_ALL_FOR).min(self.end()) {
             return true;
         }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -32,7 +32,7 @@
 use crate::peers::FeedCache;
 use crate::peers::PeerList;
 use crate::planned_stop::PlannedStop;
-use crate::planned_stop::Work;
+use crate::planned_stop::ResponseShape;
 use crate::retry_budgets::RetryBudgets;
 use crate::rollouts::Rollouts;
 use crate::routing::RoutingConfig;
@@ -254,9 +254,9 @@
     }
 
     /// Whether a new request is still taken.
-    pub(crate) fn takes(&self, work: Work) -> bool {
+    pub(crate) fn accepts(&self, work: ResponseShape) -> bool {
         let now = self.now();
-        self.stop.lock().is_none_or(|stop| stop.takes(now, work))
+        self.stop.lock().is_none_or(|stop| stop.accepts(now, work))
     }
 
     /// Another entry is listed: what all may do together is divided among more.
