--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -115,7 +115,7 @@
         emptied_zones: state.upstreams.emptied_zones(),
         fatal_requests: state.fatal.summary(),
         speeds: state.upstreams.speeds_summary(),
-        sessions_told: state.sessions.lock().count_told(),
+        sessions_told: state.sessions.lock().count_from_peers(),
         usual_times: usual_times(state),
         rollouts: rollouts
             .map(|(service, record, row_version)| RolloutDump {
--- a/crates/gateway/src/peers/evidence.rs
+++ b/crates/gateway/src/peers/evidence.rs
@@ -35,7 +35,7 @@
     let canaries = state.rollouts.lock().canaries();
     let sessions = state.sessions.lock();
     let kept = canaries.iter().flat_map(|(service, target, share)| {
-        sessions.kept_from(now, service, target, *share, scope)
+        sessions.pinned_away_from(now, service, target, *share, scope)
     });
     kept.map(|kept| Session::of(&kept)).collect()
 }
--- a/crates/gateway/src/peers/messages.rs
+++ b/crates/gateway/src/peers/messages.rs
@@ -10,7 +10,7 @@
 use stallhoist_policy::rollout::VersionCounts;
 
 use crate::control_store::Feed;
-use crate::sessions::KeptSession;
+use crate::sessions::PinnedSession;
 use crate::sessions::SessionKey;
 
 /// The largest message: a whole configuration of many routes fits in.
@@ -179,7 +179,7 @@
 }
 
 impl Session {
-    pub(super) fn of(kept: &KeptSession) -> Self {
+    pub(super) fn of(kept: &PinnedSession) -> Self {
         Self {
             key: kept.key.0,
             service: kept.service.to_string(),
@@ -192,8 +192,8 @@
     ///
     /// # Errors
     /// Fails when the service or the version has no valid name.
-    pub(super) fn kept(&self) -> Result<KeptSession, NameError> {
-        Ok(KeptSession {
+    pub(super) fn kept(&self) -> Result<PinnedSession, NameError> {
+        Ok(PinnedSession {
             key: SessionKey(self.key),
             service: self.service.parse()?,
             version: self.version.parse()?,
--- a/crates/gateway/src/peers/relayed_store.rs
+++ b/crates/gateway/src/peers/relayed_store.rs
@@ -325,7 +325,7 @@
         }
         Ask {
             evidence: own_evidence(&self.state),
-            sessions: kept_sessions(&self.state, SessionScope::Own),
+            sessions: kept_sessions(&self.state, SessionScope::Local),
             is_wanting_times: self.state.rollouts.lock().wants_times(),
             ..Ask::default()
         }
--- a/crates/gateway/src/request/execution/mod.rs
+++ b/crates/gateway/src/request/execution/mod.rs
@@ -338,7 +338,7 @@
         if let Some(session) = Call::session(&self.call.head) {
             let now = self.state.now();
             let service = &self.call.service_name;
-            self.state.sessions.lock().used(now, service, session, version);
+            self.state.sessions.lock().record_use(now, service, session, version);
         }
     }
 }
--- a/crates/gateway/src/sessions.rs
+++ b/crates/gateway/src/sessions.rs
@@ -34,7 +34,7 @@
 
 /// A session that stays on a version, as entries tell each other.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptSession {
+pub struct PinnedSession {
     /// The session.
     pub key: SessionKey,
     /// The service that it asks.
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SessionScope {
     /// Those that this entry has served.
-    Own,
+    Local,
     /// Those that others have told of as well.
     All,
 }
@@ -86,7 +86,7 @@
     }
 
     /// A request of a session went to a version.
-    pub fn used(
+    pub fn record_use(
         &mut self,
         now: MonoTime,
         service: &ServiceName,
@@ -98,7 +98,7 @@
     }
 
     /// Another entry tells of a session. What this entry knows of later use goes before.
-    pub fn apply_peer_update(&mut self, now: MonoTime, told: KeptSession) {
+    pub fn apply_peer_update(&mut self, now: MonoTime, told: PinnedSession) {
         let last_used = now.before(told.idle);
         let known = self.by_session.get(&(told.service.clone(), told.key));
         if known.is_some_and(|known| known.last_used >= last_used) {
@@ -114,14 +114,14 @@
     /// The sessions of a service that would go to the `target` of a roll-out by their hash,
     /// as they are below `share`, but have been answered by another version: other entries
     /// must know of them, as a session may go on there. The ones used last come first.
-    pub fn kept_from(
+    pub fn pinned_away_from(
         &self,
         now: MonoTime,
         service: &ServiceName,
         target: &VersionName,
         share: f64,
         scope: SessionScope,
-    ) -> Vec<KeptSession> {
+    ) -> Vec<PinnedSession> {
         let is_kept = |(of, key): &(ServiceName, SessionKey), kept: &Kept| {
             of == service
                 && key.unit() < share
@@ -131,7 +131,7 @@
         };
         let kept = self.by_session.iter().filter(|(key, kept)| is_kept(key, kept));
         let mut kept: Vec<_> = kept
-            .map(|((service, key), kept)| KeptSession {
+            .map(|((service, key), kept)| PinnedSession {
                 key: *key,
                 service: service.clone(),
                 version: kept.version.clone(),
@@ -144,7 +144,7 @@
     }
 
     /// How many are known that only other entries have served.
-    pub fn count_told(&self) -> usize {
+    pub fn count_from_peers(&self) -> usize {
         self.by_session.values().filter(|kept| !kept.is_own).count()
     }
 
--- a/tests/all/decisions/sessions.rs
+++ b/tests/all/decisions/sessions.rs
@@ -4,7 +4,7 @@
 
 use stallhoist_core::ServiceName;
 use stallhoist_core::VersionName;
-use stallhoist_gateway::sessions::KeptSession;
+use stallhoist_gateway::sessions::PinnedSession;
 use stallhoist_gateway::sessions::SessionKey;
 use stallhoist_gateway::sessions::SessionScope;
 use stallhoist_gateway::sessions::Sessions;
@@ -21,14 +21,14 @@
         ("v1".parse().expect("a name"), "v2".parse().expect("a name"));
     let key = SessionKey(7);
     let mut sessions = Sessions::new(Duration::from_secs(60));
-    sessions.used(at_ms(1_000), &service, key, &old);
-    let told_back = KeptSession {
+    sessions.record_use(at_ms(1_000), &service, key, &old);
+    let told_back = PinnedSession {
         key,
         service: service.clone(),
         version: old,
         idle: Duration::from_millis(499),
     };
     sessions.apply_peer_update(at_ms(1_500), told_back);
-    let kept = sessions.kept_from(at_ms(1_600), &service, &new, 0.03, SessionScope::Own);
+    let kept = sessions.pinned_away_from(at_ms(1_600), &service, &new, 0.03, SessionScope::Local);
     assert_eq!(kept.len(), 1, "it is still this entry's to tell");
 }
