--- a/crates/gateway/src/callers/handler.rs
+++ b/crates/gateway/src/callers/handler.rs
@@ -23,7 +23,7 @@
 use super::rejection::Rejection;
 use super::rejection::given_up;
 use crate::dialect::CallHead;
-use crate::metrics::RequestEnd;
+use crate::metrics::RequestOutcome;
 use crate::planned_stop::ResponseShape;
 use crate::request::Call;
 use crate::request::Execution;
@@ -55,7 +55,7 @@
     let mut response = match accept(&state, request).await {
         Ok(call) => execute(&state, call, counted).await,
         Err(rejection) => {
-            state.metrics.request_ended(RequestEnd::Rejected);
+            state.metrics.request_ended(RequestOutcome::Rejected);
             if state.decisions.admits(state.now()) {
                 log::info!(request = id, reason:% = rejection; "request rejected");
             }
@@ -198,19 +198,19 @@
 fn finished(state: &GatewayState, execution: &Execution, outcome: &Outcome) {
     let (end, result) = match outcome {
         Outcome::Whole(reply) if reply.status.is_server_error() => {
-            (RequestEnd::UpstreamFailure, "the upstream's failure is passed on".to_owned())
+            (RequestOutcome::UpstreamFailure, "the upstream's failure is passed on".to_owned())
         }
-        Outcome::Whole(_) | Outcome::Stream(_) => (RequestEnd::Answered, "answered".to_owned()),
+        Outcome::Whole(_) | Outcome::Stream(_) => (RequestOutcome::Answered, "answered".to_owned()),
         Outcome::GivenUp(give_up @ GiveUp::NotRun { .. }) => {
-            (RequestEnd::NotRun, give_up.to_string())
+            (RequestOutcome::NotRun, give_up.to_string())
         }
         Outcome::GivenUp(give_up @ GiveUp::HeldBack { .. }) => {
-            (RequestEnd::HeldBack, give_up.to_string())
+            (RequestOutcome::HeldBack, give_up.to_string())
         }
         Outcome::GivenUp(give_up @ GiveUp::NotAllowed { .. }) => {
-            (RequestEnd::NotAllowed, give_up.to_string())
+            (RequestOutcome::NotAllowed, give_up.to_string())
         }
-        Outcome::GivenUp(give_up) => (RequestEnd::Failed, give_up.to_string()),
+        Outcome::GivenUp(give_up) => (RequestOutcome::Failed, give_up.to_string()),
     };
     state.metrics.request_ended(end);
     let call = execution.call();
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -16,7 +16,7 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub(crate) enum RequestEnd {
+pub(crate) enum RequestOutcome {
     /// An upstream's answer was passed on whole, or its stream was begun.
     Answered,
     /// An upstream's own failure was passed on.
@@ -57,7 +57,7 @@
 /// Labels of requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct RequestLabels {
-    pub(crate) end: RequestEnd,
+    pub(crate) end: RequestOutcome,
 }
 
 /// Labels of attempts.
@@ -205,7 +205,7 @@
         self.news_bytes.get_or_create(&NewsLabels { origin }).inc_by(bytes as u64);
     }
 
-    pub(crate) fn request_ended(&self, end: RequestEnd) {
+    pub(crate) fn request_ended(&self, end: RequestOutcome) {
         self.requests.get_or_create(&RequestLabels { end }).inc();
     }
 
--- a/crates/gateway/src/request/relay.rs
+++ b/crates/gateway/src/request/relay.rs
@@ -16,7 +16,7 @@
 use super::pace_watch::PaceSubject;
 use super::pace_watch::PaceWatch;
 use crate::event_frames::EventFrames;
-use crate::metrics::RequestEnd;
+use crate::metrics::RequestOutcome;
 
 /// A stream that is silent for so many times its longest good pause, and at least for the
 /// time below, is continued elsewhere if it may be.
@@ -77,7 +77,7 @@
                 Ok(None) => {
                     self.pace.ended();
                     self.execution.was_answered();
-                    self.ended(RequestEnd::Answered, "complete");
+                    self.ended(RequestOutcome::Answered, "complete");
                     return Ok(None);
                 }
                 Err(cause) => self.resume(cause).await?,
@@ -149,13 +149,13 @@
             }
             Err(give_up) => {
                 state.metrics.streams_broken.inc();
-                self.ended(RequestEnd::Failed, &give_up.to_string());
+                self.ended(RequestOutcome::Failed, &give_up.to_string());
                 Err(RelayError)
             }
         }
     }
 
-    fn ended(&mut self, end: RequestEnd, result: &str) {
+    fn ended(&mut self, end: RequestOutcome, result: &str) {
         self.is_ended = true;
         self.execution.state().metrics.request_ended(end);
         self.log(result);
@@ -188,7 +188,7 @@
         // A session lasts from the end of its last answer.
         self.execution.remember_session(&self.stream.version);
         if !self.is_ended {
-            self.execution.state().metrics.request_ended(RequestEnd::Abandoned);
+            self.execution.state().metrics.request_ended(RequestOutcome::Abandoned);
             self.log("the caller left");
         }
     }
