--- a/crates/gateway/src/callers/answer.rs
+++ b/crates/gateway/src/callers/answer.rs
@@ -12,7 +12,7 @@
 use crate::request::Relay;
 use crate::request::RelayError;
 use crate::request::WholeReply;
-use crate::state::InProgress;
+use crate::state::InProgressGuard;
 
 /// The body of an answer.
 pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, RelayError>;
@@ -28,7 +28,7 @@
 
 /// An event stream. When it breaks, the connection is closed without the end of the
 /// body, so that it does not look complete.
-pub(crate) fn stream(relay: Box<Relay>, counted: InProgress) -> Response<AnswerBody> {
+pub(crate) fn stream(relay: Box<Relay>, counted: InProgressGuard) -> Response<AnswerBody> {
     let (status, headers) = relay.head();
     let frames = stream::try_unfold((relay, counted), |(mut relay, counted)| async move {
         let events = relay.next().await?;
--- a/crates/gateway/src/callers/handler.rs
+++ b/crates/gateway/src/callers/handler.rs
@@ -33,7 +33,7 @@
 use crate::routing::RoutingConfig;
 use crate::routing::Workspace;
 use crate::state::GatewayState;
-use crate::state::InProgress;
+use crate::state::InProgressGuard;
 
 /// The bytes that each header takes besides its name and value: `: ` and the line's end.
 const HEADER_OVERHEAD_BYTES: usize = 4;
@@ -50,7 +50,7 @@
     state: Arc<GatewayState>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let counted = InProgress::count(&state);
+    let counted = InProgressGuard::count(&state);
     let id = state.dialect.call_id(request.headers()).unwrap_or_default().to_owned();
     let mut response = match accept(&state, request).await {
         Ok(call) => execute(&state, call, counted).await,
@@ -180,7 +180,7 @@
 async fn execute(
     state: &Arc<GatewayState>,
     call: Call,
-    counted: InProgress,
+    counted: InProgressGuard,
 ) -> Response<AnswerBody> {
     let execution = Execution::new(Arc::clone(state), call);
     let (outcome, execution) = execution.run().await;
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -286,9 +286,9 @@
 
 /// Counts a request in progress until it is dropped.
 #[derive(Debug)]
-pub(crate) struct InProgress(Arc<GatewayState>);
+pub(crate) struct InProgressGuard(Arc<GatewayState>);
 
-impl InProgress {
+impl InProgressGuard {
     pub(crate) fn count(state: &Arc<GatewayState>) -> Self {
         state.in_progress.fetch_add(1, Ordering::SeqCst);
         state.metrics.in_progress.inc();
@@ -296,7 +296,7 @@
     }
 }
 
-impl Drop for InProgress {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.0.in_progress.fetch_sub(1, Ordering::SeqCst);
         self.0.metrics.in_progress.dec();
