--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -135,7 +135,7 @@
             Feed::Operators => self.eras.begin_grace(now, WRITTEN_AGAIN_WITHIN),
             Feed::Members => self.eras.begin_grace(now, LISTED_AGAIN_WITHIN),
             // It is listed again by what was read if its row is there, else by itself.
-            Feed::Entries => self.state.peers.lock().own_row_is_gone(),
+            Feed::Entries => self.state.peers.lock().remove_local(),
             // What the system writes, nobody writes again but the entries.
             Feed::Rollouts | Feed::FatalRequests => {}
         }
--- a/crates/gateway/src/peers/asked.rs
+++ b/crates/gateway/src/peers/asked.rs
@@ -27,7 +27,7 @@
 pub(super) fn asked(state: &GatewayState) -> Vec<SocketAddr> {
     let peers = state.peers.lock();
     if peers.count() > RELAYS {
-        return peers.asked().into_iter().map(|(_, addr)| addr).collect();
+        return peers.poll_targets().into_iter().map(|(_, addr)| addr).collect();
     }
     let own_place = peers.own_place();
     drop(peers);
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -51,7 +51,7 @@
     }
 
     /// An entry listed itself.
-    pub fn listed(&mut self, entry: ListedEntry) {
+    pub fn add(&mut self, entry: ListedEntry) {
         self.entries.retain(|(_, known)| known.host != entry.host);
         let rank = Rank::of(&entry);
         let place = self.entries.partition_point(|(known, _)| *known < rank);
@@ -59,7 +59,7 @@
     }
 
     /// The entry's own row is not in the list.
-    pub fn own_row_is_gone(&mut self) {
+    pub fn remove_local(&mut self) {
         self.entries.retain(|(_, known)| known.host != self.own);
     }
 
@@ -75,7 +75,7 @@
 
     /// Whether an entry is listed, as it is.
     pub fn is_listed(&self, entry: &ListedEntry) -> bool {
-        self.in_order().any(|listed| listed == entry)
+        self.in_order().any(|add| add == entry)
     }
 
     /// The entries that follow the store, as far as they are listed.
@@ -85,7 +85,7 @@
 
     /// The other entries that follow the store, if this one does.
     pub fn other_relays(&self) -> Vec<(HostId, SocketAddr)> {
-        if !self.asked().is_empty() {
+        if !self.poll_targets().is_empty() {
             return Vec::new();
         }
         let relays = self.relay_entries();
@@ -96,7 +96,7 @@
     /// Whom this entry asks, in order; nobody if it follows the store itself. Each begins
     /// with a relay of its own availability zone, as bytes between zones have a price; where
     /// there is none, with another one each, so that they share the work.
-    pub fn asked(&self) -> Vec<(HostId, SocketAddr)> {
+    pub fn poll_targets(&self) -> Vec<(HostId, SocketAddr)> {
         let mut relays = self.relay_entries();
         let is_relay = relays.iter().any(|entry| entry.host == self.own);
         if self.entries.len() <= RELAYS || is_relay {
@@ -107,8 +107,8 @@
         let begin = self.own_place() % relays.len().max(1);
         relays.rotate_left(begin);
         relays.sort_by_key(|relay| relay.zone.as_ref() != Some(&self.own_zone));
-        let asked = relays.into_iter().chain(others).take(MAX_ASKED);
-        asked.map(|entry| (entry.host.clone(), entry.peers_addr)).collect()
+        let poll_targets = relays.into_iter().chain(others).take(MAX_ASKED);
+        poll_targets.map(|entry| (entry.host.clone(), entry.peers_addr)).collect()
     }
 
     /// The entries that follow the store: of those whose links are no slower than that of the
--- a/crates/gateway/src/peers/work_news.rs
+++ b/crates/gateway/src/peers/work_news.rs
@@ -112,7 +112,7 @@
         let answers = |(_, addr): &(HostId, SocketAddr)| !self.skipped_until.contains_key(addr);
         let relays = peers.other_relays();
         if relays.is_empty() {
-            return peers.asked().into_iter().filter(answers).take(1).collect();
+            return peers.poll_targets().into_iter().filter(answers).take(1).collect();
         }
         relays.into_iter().filter(answers).collect()
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -264,7 +264,7 @@
         self.upstreams.entry_listed(entry.host.clone());
         let entries = {
             let mut peers = self.peers.lock();
-            peers.listed(entry);
+            peers.add(entry);
             peers.count()
         };
         self.retries.lock().set_burst(self.settings.retries.burst_of(entries));
--- a/tests/all/decisions/peers.rs
+++ b/tests/all/decisions/peers.rs
@@ -39,7 +39,7 @@
     let list = |own| {
         let mut list = PeerList::new(host(own), zone("a"));
         for n in 0..count {
-            list.listed(entry(n));
+            list.add(entry(n));
         }
         list
     };
@@ -52,7 +52,7 @@
         #[test]
         fn $name() {
             let lists = lists($entries);
-            let direct = lists.iter().filter(|list| list.asked().is_empty()).count();
+            let direct = lists.iter().filter(|list| list.poll_targets().is_empty()).count();
             assert_eq!(direct, $expected);
         }
     };
@@ -68,9 +68,9 @@
 fn the_relays_share_the_work() {
     let lists = lists(100);
     let relays: Vec<_> =
-        (0..100u16).filter(|n| lists[usize::from(*n)].asked().is_empty()).collect();
+        (0..100u16).filter(|n| lists[usize::from(*n)].poll_targets().is_empty()).collect();
     for relay in relays {
-        let first = |list: &&PeerList| list.asked().first() == Some(&(host(relay), addr(relay)));
+        let first = |list: &&PeerList| list.poll_targets().first() == Some(&(host(relay), addr(relay)));
         let share = lists.iter().filter(first).count();
         assert!((20..=45).contains(&share), "{share}");
     }
@@ -81,7 +81,7 @@
     for count in [2, 3, 4, 32] {
         for (n, list) in (0..).zip(lists(count)) {
             let told = list.other_relays();
-            let expected = if list.asked().is_empty() { usize::from(count).min(3) - 1 } else { 0 };
+            let expected = if list.poll_targets().is_empty() { usize::from(count).min(3) - 1 } else { 0 };
             assert!(
                 told.len() == expected && !told.contains(&(host(n), addr(n))),
                 "{count}: {told:?}"
@@ -93,7 +93,7 @@
 #[test]
 fn nobody_asks_itself_and_the_number_asked_is_bounded() {
     for (n, list) in (0..).zip(lists(50)) {
-        let asked = list.asked();
+        let asked = list.poll_targets();
         assert!(asked.len() <= 5 && !asked.contains(&(host(n), addr(n))));
     }
 }
@@ -103,9 +103,9 @@
     let mut list = PeerList::new(host(1), zone("a"));
     let moved = ListedEntry { peers_addr: addr(9), ..entry(1) };
     assert!(!list.is_listed(&entry(1)));
-    list.listed(entry(1));
+    list.add(entry(1));
     assert!(list.is_listed(&entry(1)));
-    list.listed(moved.clone());
+    list.add(moved.clone());
     assert!(!list.is_listed(&entry(1)) && list.is_listed(&moved));
     assert_eq!(list.count(), 1);
 }
@@ -117,7 +117,7 @@
     let mut list = PeerList::new(host(0), zone("a"));
     for n in 0..32 {
         let mbit_per_s = if FAST.contains(&n) { 200 } else { 10 };
-        list.listed(ListedEntry { link: LinkRate::from_mbit_per_s(mbit_per_s), ..entry(n) });
+        list.add(ListedEntry { link: LinkRate::from_mbit_per_s(mbit_per_s), ..entry(n) });
     }
     let relays = list.relays();
     assert_eq!(relays.len(), 3);
@@ -125,7 +125,7 @@
     // A host whose link was slower at its last start loses its place.
     let slowed = relays[0].clone();
     let n = FAST.into_iter().find(|n| host(*n) == slowed).expect("it is one of them");
-    list.listed(ListedEntry { link: LinkRate::from_mbit_per_s(10), ..entry(n) });
+    list.add(ListedEntry { link: LinkRate::from_mbit_per_s(10), ..entry(n) });
     assert!(!list.relays().contains(&slowed));
 }
 
@@ -136,7 +136,7 @@
     for n in 0..40 {
         let mbit_per_s = if n < 12 && n % 4 != 3 { 200 } else { 10 };
         let link = LinkRate::from_mbit_per_s(mbit_per_s);
-        list.listed(ListedEntry { link, zone: Some(zone_of(n)), ..entry(n) });
+        list.add(ListedEntry { link, zone: Some(zone_of(n)), ..entry(n) });
     }
     list
 }
@@ -158,7 +158,7 @@
 fn an_entry_first_asks_the_relay_of_its_zone() {
     let (mut first_of_d, relays) = (Vec::new(), list_of_zones(39).relays());
     for own in (0..40).filter(|own| !relays.contains(&host(*own))) {
-        let asked = list_of_zones(own).asked();
+        let asked = list_of_zones(own).poll_targets();
         let first = number_of(&asked[0].0);
         assert!(relays.contains(&host(first)) && asked.len() == 5);
         if own % 4 == 3 {
