--- a/crates/gateway/src/peers/evidence.rs
+++ b/crates/gateway/src/peers/evidence.rs
@@ -54,7 +54,7 @@
 }
 
 /// Tells the other entries that follow the store, for ever.
-pub(crate) async fn tell_relays(state: Arc<GatewayState>) {
+pub(crate) async fn publish_evidence(state: Arc<GatewayState>) {
     let mut teller = Teller::new(ANSWER_TIMEOUT);
     loop {
         tokio::time::sleep(TELL_EVERY).await;
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -50,7 +50,7 @@
 ///
 /// An upstream with nothing to do is the best choice of an entry that does not know its limit: of 30
 /// requests in its first moment 10 went to one that took one.
-pub(crate) async fn learn_limits(state: Arc<GatewayState>) {
+pub(crate) async fn fetch_startup_limits(state: Arc<GatewayState>) {
     let own = state.settings.peers_addr.parse().ok();
     let others = seeds(&state.settings).filter(|seed| Some(*seed) != own);
     let asked = others.map(|seed| ask_seed(&state, seed));
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -37,13 +37,13 @@
 mod work_news;
 
 pub(crate) use asked::follows_store;
-pub(crate) use evidence::tell_relays;
+pub(crate) use evidence::publish_evidence;
 pub use feed_cache::FeedCache;
 pub use feed_cache::Origin;
-pub(crate) use limits::learn_limits;
+pub(crate) use limits::fetch_startup_limits;
 pub use list::PeerList;
 pub use packing::pack;
 pub use packing::unpack;
 pub(crate) use relayed_store::RelayedStore;
 pub(crate) use server::PeerServer;
-pub(crate) use work_news::tell_work;
+pub(crate) use work_news::publish_work;
--- a/crates/gateway/src/peers/work_news.rs
+++ b/crates/gateway/src/peers/work_news.rs
@@ -49,7 +49,7 @@
 const BYTES_PER_UPSTREAM: usize = 18;
 
 /// Tells others of this entry's work, for ever.
-pub(crate) async fn tell_work(state: Arc<GatewayState>) {
+pub(crate) async fn publish_work(state: Arc<GatewayState>) {
     let mut telling =
         WorkTelling { state, teller: Teller::new(ANSWER_TIMEOUT), skipped_until: HashMap::new() };
     let mut pause = TELL_EVERY;
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -24,9 +24,9 @@
 use crate::operators;
 use crate::peers::PeerServer;
 use crate::peers::RelayedStore;
-use crate::peers::learn_limits;
-use crate::peers::tell_relays;
-use crate::peers::tell_work;
+use crate::peers::fetch_startup_limits;
+use crate::peers::publish_evidence;
+use crate::peers::publish_work;
 use crate::rollouts;
 use crate::state::GatewayState;
 
@@ -239,12 +239,12 @@
         tasks.spawn(follow(Arc::clone(state), Arc::clone(store), feed));
     }
     tasks.spawn(serve_without_fatal_requests(Arc::clone(state)));
-    tasks.spawn(learn_limits(Arc::clone(state)));
+    tasks.spawn(fetch_startup_limits(Arc::clone(state)));
     tasks.spawn(fatal::keep(Arc::clone(state), Arc::clone(store)));
     tasks.spawn(rollouts::drive(Arc::clone(state), Arc::clone(store)));
     tasks.spawn(rollouts::watch(Arc::clone(state)));
-    tasks.spawn(tell_relays(Arc::clone(state)));
-    tasks.spawn(tell_work(Arc::clone(state)));
+    tasks.spawn(publish_evidence(Arc::clone(state)));
+    tasks.spawn(publish_work(Arc::clone(state)));
     tasks.spawn(expire(Arc::clone(state)));
     tasks
 }
--- a/tests/all/decisions/peers.rs
+++ b/tests/all/decisions/peers.rs
@@ -70,7 +70,8 @@
     let relays: Vec<_> =
         (0..100u16).filter(|n| lists[usize::from(*n)].poll_targets().is_empty()).collect();
     for relay in relays {
-        let first = |list: &&PeerList| list.poll_targets().first() == Some(&(host(relay), addr(relay)));
+        let first =
+            |list: &&PeerList| list.poll_targets().first() == Some(&(host(relay), addr(relay)));
         let share = lists.iter().filter(first).count();
         assert!((20..=45).contains(&share), "{share}");
     }
@@ -81,7 +82,8 @@
     for count in [2, 3, 4, 32] {
         for (n, list) in (0..).zip(lists(count)) {
             let told = list.other_relays();
-            let expected = if list.poll_targets().is_empty() { usize::from(count).min(3) - 1 } else { 0 };
+            let expected =
+                if list.poll_targets().is_empty() { usize::from(count).min(3) - 1 } else { 0 };
             assert!(
                 told.len() == expected && !told.contains(&(host(n), addr(n))),
                 "{count}: {told:?}"
