--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -108,7 +108,7 @@
                 return false;
             }
         }
-        self.state.store_is_in(version.era);
+        self.state.observe_store_era(version.era);
         true
     }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -157,7 +157,7 @@
     }
 
     /// The store was heard of in an era.
-    pub(crate) fn store_is_in(&self, era: StoreEra) {
+    pub(crate) fn observe_store_era(&self, era: StoreEra) {
         let before = self.store_era.fetch_max(era.0, Ordering::SeqCst);
         self.metrics.store_era.set(i64::try_from(before.max(era.0)).unwrap_or(i64::MAX));
     }
