--- a/crates/gateway/src/suspend_recovery.rs
+++ b/crates/gateway/src/suspend_recovery.rs
@@ -18,10 +18,10 @@
 
 /// How long an entry waits to hear again. Then it serves with what it knows, as any entry does while
 /// the store is away and no other one answers.
-const HEARD_WITHIN: Duration = Duration::from_secs(3);
+const RESYNC_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What an entry must have heard again before it decides about requests.
-const NEEDED: [Feed; 2] = [Feed::Operators, Feed::Members];
+const REQUIRED_FEEDS: [Feed; 2] = [Feed::Operators, Feed::Members];
 
 /// What has not been heard again since the host was suspended, and until when that matters.
 #[derive(Debug, Default)]
@@ -33,7 +33,7 @@
 impl ResyncState {
     /// The host has been awake since this moment.
     pub fn since(woken: MonoTime) -> Self {
-        Self { missing: NEEDED.to_vec(), until: woken.after(HEARD_WITHIN) }
+        Self { missing: REQUIRED_FEEDS.to_vec(), until: woken.after(RESYNC_TIMEOUT) }
     }
 
     /// News of a feed came, that were asked for since.
@@ -42,7 +42,7 @@
     }
 
     /// Whether requests have to wait.
-    pub fn is_needed(&self, now: MonoTime) -> bool {
+    pub fn is_pending(&self, now: MonoTime) -> bool {
         !self.missing.is_empty() && now < self.until
     }
 }
@@ -50,7 +50,7 @@
 #[derive(Debug, Default)]
 struct Shared {
     watch: SuspensionWatch,
-    catching_up: ResyncState,
+    resync: ResyncState,
     suspensions: u64,
 }
 
@@ -68,13 +68,13 @@
     }
 
     /// Looks whether the host was suspended. Gives how often it was.
-    pub(crate) fn look(&self) -> u64 {
+    pub(crate) fn check_suspension(&self) -> u64 {
         let mut shared = self.shared.lock();
         let Some(gap) = shared.watch.notice(self.clock.suspended()) else {
             return shared.suspensions;
         };
         shared.suspensions += 1;
-        shared.catching_up = ResyncState::since(self.clock.now());
+        shared.resync = ResyncState::since(self.clock.now());
         let suspensions = shared.suspensions;
         drop(shared);
         log::warn!(
@@ -87,13 +87,13 @@
 
     /// News of a feed came.
     pub(crate) fn mark_received(&self, feed: Feed) {
-        self.shared.lock().catching_up.mark_received(feed);
+        self.shared.lock().resync.mark_received(feed);
     }
 
     /// Whether requests have to wait until news are here.
     pub(crate) fn is_resyncing(&self) -> bool {
-        self.look();
-        self.shared.lock().catching_up.is_needed(self.clock.now())
+        self.check_suspension();
+        self.shared.lock().resync.is_pending(self.clock.now())
     }
 
     /// Waits until the host wakes up after a suspension.
@@ -106,13 +106,13 @@
         &self,
         question: impl Future<Output = Result<T, ControlStoreError>>,
     ) -> Result<T, ControlStoreError> {
-        let before = self.look();
+        let before = self.check_suspension();
         let answer = tokio::select! {
             answer = question => Some(answer),
             () = self.woken() => None,
         };
         match answer {
-            Some(answer) if self.look() == before => answer,
+            Some(answer) if self.check_suspension() == before => answer,
             _ => Err(ControlStoreError::Suspended),
         }
     }
--- a/tests/all/gateway/suspension.rs
+++ b/tests/all/gateway/suspension.rs
@@ -166,20 +166,20 @@
 
 #[test]
 fn an_entry_catches_up_until_it_has_heard_of_both() {
-    let mut catching_up = ResyncState::since(at_ms(0));
-    assert!(catching_up.is_needed(at_ms(0)));
-    catching_up.mark_received(Feed::Entries);
-    catching_up.mark_received(Feed::Operators);
-    assert!(catching_up.is_needed(at_ms(1)));
-    catching_up.mark_received(Feed::Members);
-    assert!(!catching_up.is_needed(at_ms(1)));
+    let mut resync = ResyncState::since(at_ms(0));
+    assert!(resync.is_pending(at_ms(0)));
+    resync.mark_received(Feed::Entries);
+    resync.mark_received(Feed::Operators);
+    assert!(resync.is_pending(at_ms(1)));
+    resync.mark_received(Feed::Members);
+    assert!(!resync.is_pending(at_ms(1)));
 }
 
 #[test]
 fn it_waits_no_longer_than_it_must() {
-    let catching_up = ResyncState::since(at_ms(0));
-    assert!(catching_up.is_needed(at_ms(2_999)));
-    assert!(!catching_up.is_needed(at_ms(3_000)));
+    let resync = ResyncState::since(at_ms(0));
+    assert!(resync.is_pending(at_ms(2_999)));
+    assert!(!resync.is_pending(at_ms(3_000)));
 }
 
 #[test]
