--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -89,7 +89,7 @@
 
 /// Labels of news of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub(crate) struct NewsLabels {
+pub(crate) struct FeedLabels {
     pub(crate) origin: Origin,
 }
 
@@ -114,7 +114,7 @@
     pub(crate) emptied_zones: Gauge,
     pub(crate) store_failures: Counter,
     pub(crate) unreadable_rows: Counter,
-    pub(crate) news_bytes: Family<NewsLabels, Counter>,
+    pub(crate) news_bytes: Family<FeedLabels, Counter>,
     pub(crate) first_part_s: Histogram,
     pub(crate) rollout_evidence: Family<EvidenceLabels, FractionGauge>,
     pub(crate) rollout_load: Family<LoadLabels, FractionGauge>,
@@ -190,7 +190,7 @@
     }
 
     /// How many upstreams are what now.
-    pub(crate) fn upstreams_are(&self, counts: &UpstreamCounts) {
+    pub(crate) fn set_upstream_counts(&self, counts: &UpstreamCounts) {
         let set = |gauge: &Gauge, count| {
             gauge.set(i64::try_from(count).unwrap_or(i64::MAX));
         };
@@ -201,8 +201,8 @@
         set(&self.emptied_zones, counts.emptied_zones);
     }
 
-    pub(crate) fn news_received(&self, origin: Origin, bytes: usize) {
-        self.news_bytes.get_or_create(&NewsLabels { origin }).inc_by(bytes as u64);
+    pub(crate) fn record_feed_bytes(&self, origin: Origin, bytes: usize) {
+        self.news_bytes.get_or_create(&FeedLabels { origin }).inc_by(bytes as u64);
     }
 
     pub(crate) fn request_ended(&self, end: RequestOutcome) {
--- a/crates/gateway/src/peers/relayed_store.rs
+++ b/crates/gateway/src/peers/relayed_store.rs
@@ -257,7 +257,7 @@
 
     /// Counts news, and logs them if they are large.
     fn received(&self, feed: Feed, origin: Origin, bytes: usize, travelled_bytes: usize) {
-        self.state.metrics.news_received(origin, travelled_bytes);
+        self.state.metrics.record_feed_bytes(origin, travelled_bytes);
         if bytes >= LARGE_NEWS_BYTES {
             log::info!(
                 feed:? = feed,
--- a/crates/gateway/src/peers/seeds.rs
+++ b/crates/gateway/src/peers/seeds.rs
@@ -50,7 +50,7 @@
     let ask =
         Ask { feed: feed_number(feed), is_any_age: true, is_unpacking: true, ..Ask::default() };
     let mut answer = ask_once(addr, &ask, BEGINS_WITHIN).await?;
-    state.metrics.news_received(Origin::OtherEntry, answer.encoded_len());
+    state.metrics.record_feed_bytes(Origin::OtherEntry, answer.encoded_len());
     answer.unpack(feed, &state.feed_cache).map_err(PeerError::Unpackable)?;
     Ok(answer)
 }
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -289,11 +289,11 @@
 async fn expire(state: Arc<GatewayState>) {
     loop {
         tokio::time::sleep(EXPIRE_EVERY).await;
-        state.suspend_recovery.look();
+        state.suspend_recovery.check_suspension();
         let now = state.now();
         state.upstreams.expire(now);
         state.upstreams.look_at_cold(now);
-        state.metrics.upstreams_are(&state.upstreams.counts(now));
+        state.metrics.set_upstream_counts(&state.upstreams.counts(now));
     }
 }
 
