--- a/crates/gateway/src/callers/handler.rs
+++ b/crates/gateway/src/callers/handler.rs
@@ -55,7 +55,7 @@
     let mut response = match accept(&state, request).await {
         Ok(call) => execute(&state, call, counted).await,
         Err(rejection) => {
-            state.metrics.request_ended(RequestOutcome::Rejected);
+            state.metrics.record_request(RequestOutcome::Rejected);
             if state.decisions.admits(state.now()) {
                 log::info!(request = id, reason:% = rejection; "request rejected");
             }
@@ -212,7 +212,7 @@
         }
         Outcome::GivenUp(give_up) => (RequestOutcome::Failed, give_up.to_string()),
     };
-    state.metrics.request_ended(end);
+    state.metrics.record_request(end);
     let call = execution.call();
     let now = state.now();
     let elapsed = now.since(call.arrived);
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -205,11 +205,11 @@
         self.news_bytes.get_or_create(&FeedLabels { origin }).inc_by(bytes as u64);
     }
 
-    pub(crate) fn request_ended(&self, end: RequestOutcome) {
+    pub(crate) fn record_request(&self, end: RequestOutcome) {
         self.requests.get_or_create(&RequestLabels { end }).inc();
     }
 
-    pub(crate) fn attempt_ended(&self, result: AttemptResult) {
+    pub(crate) fn record_attempt(&self, result: AttemptResult) {
         self.attempts.get_or_create(&AttemptLabels { result }).inc();
     }
 }
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -101,7 +101,7 @@
                 if error.is_by_host() {
                     self.state.confirm_termination(&self.chosen.start);
                 }
-                self.state.metrics.attempt_ended(AttemptResult::NotSent);
+                self.state.metrics.record_attempt(AttemptResult::NotSent);
                 return AttemptEnd::NotSent(error.to_string());
             }
         };
@@ -326,7 +326,7 @@
                 (AttemptResult::TimedOut, Evidence::Failed, Some(Observation::Failed))
             }
         };
-        self.state.metrics.attempt_ended(result);
+        self.state.metrics.record_attempt(result);
         if let (AttemptEnd::Stream(_), Some(model)) = (end, self.model) {
             let start_pace = self.call.start_pace(Some(model));
             let service = &self.call.service_name;
--- a/crates/gateway/src/request/execution/mod.rs
+++ b/crates/gateway/src/request/execution/mod.rs
@@ -244,7 +244,7 @@
     fn after_stream_begin(&mut self, stream: Box<OpenStream>) -> Option<Answer> {
         self.progress.sent();
         if self.steps_up(&stream) {
-            self.state.metrics.attempt_ended(AttemptResult::SteppedUp);
+            self.state.metrics.record_attempt(AttemptResult::SteppedUp);
             self.models.choose_best();
             return None;
         }
--- a/crates/gateway/src/request/relay.rs
+++ b/crates/gateway/src/request/relay.rs
@@ -157,7 +157,7 @@
 
     fn ended(&mut self, end: RequestOutcome, result: &str) {
         self.is_ended = true;
-        self.execution.state().metrics.request_ended(end);
+        self.execution.state().metrics.record_request(end);
         self.log(result);
     }
 
@@ -188,7 +188,7 @@
         // A session lasts from the end of its last answer.
         self.execution.remember_session(&self.stream.version);
         if !self.is_ended {
-            self.execution.state().metrics.request_ended(RequestOutcome::Abandoned);
+            self.execution.state().metrics.record_request(RequestOutcome::Abandoned);
             self.log("the caller left");
         }
     }
