--- a/crates/gateway/src/peers/usual_times.rs
+++ b/crates/gateway/src/peers/baselines.rs
@@ -6,26 +6,26 @@
 use stallhoist_policy::rollout::LatencyKind;
 use stallhoist_policy::rollout::RequestKind;
 
-use super::messages::TimeNews;
+use super::messages::BaselineMessage;
 use crate::rollouts::BaselineUpdate;
 use crate::state::GatewayState;
 
 /// The most times that are told or taken in at once. Three routes, two models and six loads
 /// make 48.
-const MAX_TIMES: usize = 500;
+const MAX_BASELINES: usize = 500;
 
 /// The usual times that are known here, for one who wants them.
-pub(super) fn own_times(state: &GatewayState, is_wanted: bool) -> Vec<TimeNews> {
+pub(super) fn local_baselines(state: &GatewayState, is_wanted: bool) -> Vec<BaselineMessage> {
     if !is_wanted {
         return Vec::new();
     }
     let known = state.rollouts.lock().baseline_updates();
-    known.into_iter().take(MAX_TIMES).map(news_of).collect()
+    known.into_iter().take(MAX_BASELINES).map(news_of).collect()
 }
 
 /// Takes in what another entry tells.
-pub(super) fn take_times(state: &GatewayState, news: &[TimeNews]) {
-    for news in news.iter().take(MAX_TIMES) {
+pub(super) fn apply_baselines(state: &GatewayState, news: &[BaselineMessage]) {
+    for news in news.iter().take(MAX_BASELINES) {
         match time_of(news) {
             Ok(time) if time.known.is_credible() => {
                 state.rollouts.lock().apply_baseline_update(time)
@@ -38,8 +38,8 @@
     }
 }
 
-fn news_of(time: BaselineUpdate) -> TimeNews {
-    TimeNews {
+fn news_of(time: BaselineUpdate) -> BaselineMessage {
+    BaselineMessage {
         service: time.service.to_string(),
         order_version: time.order_version.number,
         route: time.kind.route.map(|route| route.to_string()),
@@ -50,7 +50,7 @@
     }
 }
 
-fn time_of(news: &TimeNews) -> Result<BaselineUpdate, NameError> {
+fn time_of(news: &BaselineMessage) -> Result<BaselineUpdate, NameError> {
     let kind = RequestKind {
         route: news.route.as_deref().map(str::parse).transpose()?,
         model: news.model.as_deref().map(str::parse).transpose()?,
--- a/crates/gateway/src/peers/cached_row.rs
+++ b/crates/gateway/src/peers/cached_row.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use stallhoist_core::StoreVersion;
 
-use super::packing::PACKED_FROM_BYTES;
+use super::packing::MIN_PACKED_BYTES;
 use super::packing::pack;
 use crate::control_store::FeedRow;
 
@@ -46,14 +46,14 @@
 
 /// A row, and what it was before.
 #[derive(Debug)]
-pub(super) struct RowCopy {
+pub(super) struct CachedRow {
     row: FeedRow,
     /// Earlier values, the newest first.
     earlier: VecDeque<(StoreVersion, Bytes)>,
     packs: HashMap<BaseVersion, LazyPack>,
 }
 
-impl RowCopy {
+impl CachedRow {
     pub(super) fn new(row: FeedRow) -> Self {
         Self { row, earlier: VecDeque::new(), packs: HashMap::new() }
     }
@@ -70,7 +70,7 @@
             self.earlier.clear();
             return;
         }
-        if let Some(value) = before.value.filter(|value| value.len() >= PACKED_FROM_BYTES) {
+        if let Some(value) = before.value.filter(|value| value.len() >= MIN_PACKED_BYTES) {
             self.earlier.push_front((before.version, value));
         }
         while self.earlier.len() > MAX_EARLIER || self.earlier_bytes() > MAX_EARLIER_BYTES {
@@ -85,12 +85,12 @@
     /// The version that is held, if the value is worth a difference to it.
     pub(super) fn held(&self) -> Option<StoreVersion> {
         let value = self.row.value.as_ref()?;
-        (value.len() >= PACKED_FROM_BYTES).then_some(self.row.version)
+        (value.len() >= MIN_PACKED_BYTES).then_some(self.row.version)
     }
 
     /// The value, packed for one that holds a version of it; none when it is not packed.
     pub(super) fn pack_for(&mut self, held: BaseVersion) -> Option<LazyPack> {
-        let value = self.row.value.clone().filter(|value| value.len() >= PACKED_FROM_BYTES)?;
+        let value = self.row.value.clone().filter(|value| value.len() >= MIN_PACKED_BYTES)?;
         let base = self.earlier.iter().find(|(version, _)| Some(*version) == held);
         let (base_version, base) = base.cloned().unzip();
         let new = || LazyPack { value, base, base_version, packed: Arc::default() };
--- a/crates/gateway/src/peers/evidence.rs
+++ b/crates/gateway/src/peers/evidence.rs
@@ -8,29 +8,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::messages::Ask;
+use super::baselines::apply_baselines;
+use super::client::PeerClient;
 use super::messages::Evidence;
+use super::messages::PeerRequest;
 use super::messages::Session;
-use super::teller::Teller;
-use super::usual_times::take_times;
 use crate::sessions::SessionScope;
 use crate::state::GatewayState;
 
 /// How often it is told.
-const TELL_EVERY: Duration = Duration::from_millis(500);
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long another entry may take to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What this entry has counted of roll-outs that are under way.
-pub(super) fn own_evidence(state: &GatewayState) -> Vec<Evidence> {
+pub(super) fn local_evidence(state: &GatewayState) -> Vec<Evidence> {
     let own = state.rollouts.lock().own_evidence();
     own.iter().map(|(service, order, totals)| Evidence::of(service, *order, *totals)).collect()
 }
 
 /// The sessions that stay on the old version of a service, though their hash is in the new
 /// one's share. Another entry, at which a session goes on, cannot know it otherwise.
-pub(super) fn kept_sessions(state: &GatewayState, scope: SessionScope) -> Vec<Session> {
+pub(super) fn pinned_sessions(state: &GatewayState, scope: SessionScope) -> Vec<Session> {
     let now = state.now();
     let canaries = state.rollouts.lock().canaries();
     let sessions = state.sessions.lock();
@@ -41,7 +41,7 @@
 }
 
 /// Takes in the sessions that another entry tells of.
-pub(super) fn take_sessions(state: &GatewayState, sessions: &[Session]) {
+pub(super) fn apply_sessions(state: &GatewayState, sessions: &[Session]) {
     let now = state.now();
     for session in sessions {
         match session.kept() {
@@ -55,22 +55,23 @@
 
 /// Tells the other entries that follow the store, for ever.
 pub(crate) async fn publish_evidence(state: Arc<GatewayState>) {
-    let mut teller = Teller::new(ANSWER_TIMEOUT);
+    let mut client = PeerClient::new(ANSWER_TIMEOUT);
     loop {
-        tokio::time::sleep(TELL_EVERY).await;
-        let evidence = own_evidence(&state);
+        tokio::time::sleep(PUBLISH_INTERVAL).await;
+        let evidence = local_evidence(&state);
         if evidence.is_empty() {
-            teller.disconnect();
+            client.disconnect();
             continue;
         }
         let host = state.settings.host.id.to_string();
-        let sessions = kept_sessions(&state, SessionScope::All);
-        let is_wanting_times = state.rollouts.lock().wants_times();
-        let ask = Ask { host, evidence, sessions, is_wanting_times, ..Ask::default() };
+        let sessions = pinned_sessions(&state, SessionScope::All);
+        let needs_baselines = state.rollouts.lock().wants_times();
+        let request =
+            PeerRequest { host, evidence, sessions, needs_baselines, ..PeerRequest::default() };
         let relays = state.peers.lock().other_relays();
         for (_, addr) in relays {
-            match teller.tell(addr, &ask).await {
-                Ok(answer) => take_times(&state, &answer.times),
+            match client.tell(addr, &request).await {
+                Ok(response) => apply_baselines(&state, &response.times),
                 Err(error) => log::debug!(addr:% = addr, error:% = error; "evidence not told"),
             }
         }
--- a/crates/gateway/src/peers/feed_cache.rs
+++ b/crates/gateway/src/peers/feed_cache.rs
@@ -17,8 +17,8 @@
 use tokio::sync::futures::Notified;
 
 use super::cached_row::BaseVersion;
+use super::cached_row::CachedRow;
 use super::cached_row::LazyPack;
-use super::cached_row::RowCopy;
 use crate::control_store::ControlStoreError;
 use crate::control_store::Feed;
 use crate::control_store::FeedPage;
@@ -33,7 +33,7 @@
 pub(super) const LIVENESS_FEED: Feed = Feed::Operators;
 
 /// How long an entry counts as asked by others after a question.
-const ASKED_FOR: Duration = Duration::from_secs(5);
+const POLLED_FOR: Duration = Duration::from_secs(5);
 
 /// Whom the news of a feed came from.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, EncodeLabelValue)]
@@ -46,8 +46,8 @@
 }
 
 #[derive(Debug, Default)]
-struct FeedCopy {
-    rows: BTreeMap<String, RowCopy>,
+struct CachedFeed {
+    rows: BTreeMap<String, CachedRow>,
     /// Changes up to this version may be missing.
     complete_since: StoreVersion,
     version: StoreVersion,
@@ -56,13 +56,13 @@
     origin: Origin,
 }
 
-impl FeedCopy {
+impl CachedFeed {
     /// A row is so now.
     fn set(&mut self, row: FeedRow, is_polled: bool) {
         match self.rows.entry(row.key.clone()) {
             Entry::Occupied(known) => known.into_mut().change(row, is_polled),
             Entry::Vacant(new) => {
-                new.insert(RowCopy::new(row));
+                new.insert(CachedRow::new(row));
             }
         }
     }
@@ -74,7 +74,7 @@
         version: StoreVersion,
         fits: impl Fn(&FeedRow) -> bool,
     ) -> FeedPage {
-        let rows = self.rows.values().map(RowCopy::row);
+        let rows = self.rows.values().map(CachedRow::row);
         let mut rows: Vec<_> = rows.filter(|row| fits(row)).cloned().collect();
         rows.sort_by_key(|row| row.version);
         let age_ms = u64::try_from(now.since(self.read_at).as_millis()).unwrap_or(u64::MAX);
@@ -83,14 +83,14 @@
 }
 
 #[derive(Debug, Default)]
-struct Copies {
-    by_feed: HashMap<Feed, FeedCopy>,
+struct FeedCacheState {
+    by_feed: HashMap<Feed, CachedFeed>,
     /// Feeds about whose next change a question waits at the store.
-    waiting: HashSet<Feed>,
+    following: HashSet<Feed>,
     asked_at: Option<MonoTime>,
 }
 
-impl Copies {
+impl FeedCacheState {
     /// Until when others may take a copy for what the store says; none when they may not at all.
     ///
     /// One feed shows that the store is reached, by its short waits. Where a question about
@@ -101,7 +101,7 @@
         let fresh_for = if feed == Feed::Entries { Duration::MAX } else { FRESH_FOR };
         let from_store = |feed| self.by_feed.get(&feed).filter(|c| c.origin == Origin::Store);
         let read_at = from_store(feed)?.read_at;
-        let shown_at = from_store(LIVENESS_FEED).filter(|_| self.waiting.contains(&feed));
+        let shown_at = from_store(LIVENESS_FEED).filter(|_| self.following.contains(&feed));
         let shown_at = shown_at.map_or(read_at, |proof| proof.read_at.max(read_at));
         Some(shown_at.after(fresh_for))
     }
@@ -111,14 +111,14 @@
     }
 
     fn is_polled(&self, now: MonoTime) -> bool {
-        self.asked_at.is_some_and(|at| now.since(at) < ASKED_FOR)
+        self.asked_at.is_some_and(|at| now.since(at) < POLLED_FOR)
     }
 }
 
 /// Copies of the feeds that this entry follows at the store.
 #[derive(Debug, Default)]
 pub struct FeedCache {
-    copies: Mutex<Copies>,
+    copies: Mutex<FeedCacheState>,
     /// All rows of a feed at a version, packed: all entries that start at once ask for the same.
     packed_wholes: Mutex<HashMap<Feed, (StoreVersion, Bytes)>>,
     changed: Notify,
@@ -126,12 +126,12 @@
 
 /// A question about the next change of a feed waits at the store.
 #[derive(Debug)]
-pub(super) struct Waiting<'a> {
+pub(super) struct PendingFollow<'a> {
     copies: &'a FeedCache,
     feed: Feed,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingFollow<'_> {
     fn drop(&mut self) {
         self.copies.set_following(self.feed, false);
     }
@@ -140,7 +140,7 @@
 impl FeedCache {
     /// The whole feed was read.
     pub fn replace(&self, now: MonoTime, feed: Feed, page: &FeedPage, origin: Origin) {
-        let copy = FeedCopy { complete_since: page.version, ..FeedCopy::default() };
+        let copy = CachedFeed { complete_since: page.version, ..CachedFeed::default() };
         self.copies.lock().by_feed.insert(feed, copy);
         self.extend(now, feed, page, origin);
     }
@@ -184,16 +184,16 @@
     pub fn set_following(&self, feed: Feed, is_waiting: bool) {
         let mut copies = self.copies.lock();
         if is_waiting {
-            copies.waiting.insert(feed);
+            copies.following.insert(feed);
         } else {
-            copies.waiting.remove(&feed);
+            copies.following.remove(&feed);
         }
     }
 
     /// The same, until the guard is dropped.
-    pub(super) fn wait(&self, feed: Feed) -> Waiting<'_> {
+    pub(super) fn begin_follow(&self, feed: Feed) -> PendingFollow<'_> {
         self.set_following(feed, true);
-        Waiting { copies: self, feed }
+        PendingFollow { copies: self, feed }
     }
 
     /// Another entry asks.
--- a/crates/gateway/src/peers/standings.rs
+++ b/crates/gateway/src/peers/health.rs
@@ -10,14 +10,14 @@
 use stallhoist_policy::balance::HealthUpdate;
 use stallhoist_policy::balance::UpstreamKey;
 
-use super::messages::StandingNews;
+use super::messages::HealthMessage;
 use crate::state::GatewayState;
 
 /// The most upstreams that are told or believed at once: 18 bytes each.
-const MAX_TOLD: usize = 500;
+const MAX_ITEMS: usize = 500;
 
 /// What this entry knows.
-pub(super) fn own_standings(state: &GatewayState) -> Vec<StandingNews> {
+pub(super) fn local_health(state: &GatewayState) -> Vec<HealthMessage> {
     let standings = state.upstreams.standings(state.now());
     let message = |(key, told): (UpstreamKey, HealthUpdate)| {
         let (is_over, left) = match told {
@@ -25,20 +25,20 @@
             HealthUpdate::Refusing(left) => (false, left),
         };
         let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
-        StandingNews { upstream: key.0, left_ms, is_over }
+        HealthMessage { upstream: key.0, left_ms, is_over }
     };
-    standings.into_iter().take(MAX_TOLD).map(message).collect()
+    standings.into_iter().take(MAX_ITEMS).map(message).collect()
 }
 
 /// Takes in what another entry knows.
-pub(super) fn take_standings(state: &GatewayState, told: &[StandingNews]) {
-    let standing = |news: &StandingNews| {
+pub(super) fn apply_health(state: &GatewayState, told: &[HealthMessage]) {
+    let standing = |news: &HealthMessage| {
         let left = Duration::from_millis(u64::from(news.left_ms));
         let told =
             if news.is_over { HealthUpdate::Over(left) } else { HealthUpdate::Refusing(left) };
         (UpstreamKey(news.upstream), told)
     };
-    let told: HashMap<_, _> = told.iter().take(MAX_TOLD).map(standing).collect();
+    let told: HashMap<_, _> = told.iter().take(MAX_ITEMS).map(standing).collect();
     for start in state.upstreams.told_standings(state.now(), &told) {
         state.confirm_termination(&start);
     }
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -13,37 +13,37 @@
 use stallhoist_policy::named_limits::LimitUpdate;
 use tokio::time::timeout;
 
-use super::connection::ask_once;
-use super::messages::Ask;
-use super::messages::LimitNews;
+use super::connection::request_once;
+use super::messages::LimitMessage;
+use super::messages::PeerRequest;
 use super::seeds::seeds;
 use crate::state::GatewayState;
 
 /// The most limits that are told or believed at once: 24 bytes each.
-const MAX_TOLD: usize = 200;
+const MAX_ITEMS: usize = 200;
 
 /// How long an entry that starts waits to learn which limits hold: about as long as it waits for the
 /// list of entries. Seeds that are well answer in 10 ms.
-const LEARN_WITHIN: Duration = Duration::from_millis(100);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// What this entry has learnt lately.
-pub(super) fn own_limits(state: &GatewayState) -> Vec<LimitNews> {
+pub(super) fn local_limits(state: &GatewayState) -> Vec<LimitMessage> {
     messages(state.upstreams.named_limits(state.now()))
 }
 
 /// All limits that hold, for an entry that starts: an upstream with nothing to do is its best choice
 /// until it has heard of the limit.
-pub(super) fn all_limits(state: &GatewayState) -> Vec<LimitNews> {
+pub(super) fn all_limits(state: &GatewayState) -> Vec<LimitMessage> {
     messages(state.upstreams.all_named_limits(state.now()))
 }
 
-fn messages(limits: Vec<(UpstreamKey, LimitUpdate)>) -> Vec<LimitNews> {
-    let message = |(key, told): (UpstreamKey, LimitUpdate)| LimitNews {
+fn messages(limits: Vec<(UpstreamKey, LimitUpdate)>) -> Vec<LimitMessage> {
+    let message = |(key, told): (UpstreamKey, LimitUpdate)| LimitMessage {
         upstream: key.0,
         per_s: told.limit.map(RequestRate::per_s),
         age_ms: u32::try_from(told.age.as_millis()).unwrap_or(u32::MAX),
     };
-    limits.into_iter().take(MAX_TOLD).map(message).collect()
+    limits.into_iter().take(MAX_ITEMS).map(message).collect()
 }
 
 /// Asks the seeds which limits hold, before this entry serves.
@@ -53,24 +53,24 @@
 pub(crate) async fn fetch_startup_limits(state: Arc<GatewayState>) {
     let own = state.settings.peers_addr.parse().ok();
     let others = seeds(&state.settings).filter(|seed| Some(*seed) != own);
-    let asked = others.map(|seed| ask_seed(&state, seed));
-    if timeout(LEARN_WITHIN, join_all(asked)).await.is_err() {
+    let asked = others.map(|seed| request_from_seed(&state, seed));
+    if timeout(FETCH_TIMEOUT, join_all(asked)).await.is_err() {
         log::info!("not all seeds have told which limits hold");
     }
     state.set_has_limits();
 }
 
-async fn ask_seed(state: &GatewayState, addr: SocketAddr) {
-    let ask = Ask { is_starting: true, ..Ask::default() };
-    match ask_once(addr, &ask, LEARN_WITHIN).await {
-        Ok(answer) => take_limits(state, &answer.limits),
+async fn request_from_seed(state: &GatewayState, addr: SocketAddr) {
+    let request = PeerRequest { is_starting: true, ..PeerRequest::default() };
+    match request_once(addr, &request, FETCH_TIMEOUT).await {
+        Ok(response) => apply_limits(state, &response.limits),
         Err(error) => log::debug!(addr:% = addr, error:% = error; "a seed did not answer"),
     }
 }
 
 /// Takes in what another entry knows.
-pub(super) fn take_limits(state: &GatewayState, told: &[LimitNews]) {
-    for news in told.iter().take(MAX_TOLD) {
+pub(super) fn apply_limits(state: &GatewayState, told: &[LimitMessage]) {
+    for news in told.iter().take(MAX_ITEMS) {
         match news.per_s.map(RequestRate::from_per_s).transpose() {
             Ok(limit) => {
                 let age = Duration::from_millis(u64::from(news.age_ms));
--- a/crates/gateway/src/peers/list.rs
+++ b/crates/gateway/src/peers/list.rs
@@ -16,7 +16,7 @@
 
 /// How many entries one asks before it asks the store itself. More than the three, as
 /// some that are listed may be gone.
-const MAX_ASKED: usize = 5;
+const MAX_POLL_TARGETS: usize = 5;
 
 /// Where an entry stands in the order in which entries are relays: those with the fastest links first, as a relay sends
 /// news to all that ask it. By the hash alone, three of 32 entries with 10 Mbit/s each sent them
@@ -69,7 +69,7 @@
     }
 
     /// A number by which entries differ, so that they do not all begin with the same one.
-    pub(super) fn own_place(&self) -> usize {
+    pub(super) fn rotation_offset(&self) -> usize {
         hash_of(&self.own) as usize
     }
 
@@ -104,10 +104,10 @@
         }
         let is_other = |entry: &&ListedEntry| entry.host != self.own && !relays.contains(entry);
         let others: Vec<_> = self.in_order().filter(is_other).collect();
-        let begin = self.own_place() % relays.len().max(1);
+        let begin = self.rotation_offset() % relays.len().max(1);
         relays.rotate_left(begin);
         relays.sort_by_key(|relay| relay.zone.as_ref() != Some(&self.own_zone));
-        let poll_targets = relays.into_iter().chain(others).take(MAX_ASKED);
+        let poll_targets = relays.into_iter().chain(others).take(MAX_POLL_TARGETS);
         poll_targets.map(|entry| (entry.host.clone(), entry.peers_addr)).collect()
     }
 
--- a/crates/gateway/src/peers/messages.rs
+++ b/crates/gateway/src/peers/messages.rs
@@ -18,7 +18,7 @@
 
 /// Asks for a feed.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct Ask {
+pub(super) struct PeerRequest {
     /// The number of the feed, see [`feed_number`]; 0 asks for none.
     #[prost(uint32, tag = "1")]
     pub(super) feed: u32,
@@ -39,31 +39,31 @@
     pub(super) sessions: Vec<Session>,
     /// Whether the feed is wanted however old it is.
     #[prost(bool, tag = "7")]
-    pub(super) is_any_age: bool,
+    pub(super) accepts_stale: bool,
     /// The work that it, and the entries that tell it theirs, have in progress.
     #[prost(message, optional, tag = "8")]
-    pub(super) work: Option<WorkNews>,
+    pub(super) work: Option<WorkMessage>,
     /// What it knows of the ends of roll-outs.
     #[prost(message, repeated, tag = "9")]
-    pub(super) verdicts: Vec<VerdictNews>,
+    pub(super) verdicts: Vec<DecisionMessage>,
     /// Whether it wants the usual times of versions that are in force.
     #[prost(bool, tag = "10")]
-    pub(super) is_wanting_times: bool,
+    pub(super) needs_baselines: bool,
     /// Whether it understands packed values.
     #[prost(bool, tag = "11")]
-    pub(super) is_unpacking: bool,
+    pub(super) accepts_packed: bool,
     /// The large rows of the feed that it holds: their values may come as differences.
     #[prost(message, repeated, tag = "12")]
     pub(super) held: Vec<HeldRow>,
     /// Upstreams that are not well.
     #[prost(message, repeated, tag = "13")]
-    pub(super) standings: Vec<StandingNews>,
+    pub(super) standings: Vec<HealthMessage>,
     /// Upstreams that ended while they ran a request.
     #[prost(message, repeated, tag = "14")]
-    pub(super) ends: Vec<EndOf>,
+    pub(super) ends: Vec<CrashMessage>,
     /// Limits that upstreams have named.
     #[prost(message, repeated, tag = "15")]
-    pub(super) limits: Vec<LimitNews>,
+    pub(super) limits: Vec<LimitMessage>,
     /// Whether it has just started, and wants all limits that hold.
     #[prost(bool, tag = "16")]
     pub(super) is_starting: bool,
@@ -74,7 +74,7 @@
 
 /// What is known of a limit that an upstream has named.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct LimitNews {
+pub(super) struct LimitMessage {
     /// A hash of the upstream's start.
     #[prost(fixed64, tag = "1")]
     pub(super) upstream: u64,
@@ -88,7 +88,7 @@
 
 /// An upstream ended while it ran a request.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct EndOf {
+pub(super) struct CrashMessage {
     /// The request's fingerprint.
     #[prost(bytes = "vec", tag = "1")]
     pub(super) request: Vec<u8>,
@@ -102,7 +102,7 @@
 
 /// A start of an upstream that is not well.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct StandingNews {
+pub(super) struct HealthMessage {
     /// A hash of it.
     #[prost(fixed64, tag = "1")]
     pub(super) upstream: u64,
@@ -127,7 +127,7 @@
 
 /// What an entry knows of the end of a roll-out.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct VerdictNews {
+pub(super) struct DecisionMessage {
     /// The service.
     #[prost(string, tag = "1")]
     pub(super) service: String,
@@ -141,15 +141,15 @@
 
 /// Work in progress, by upstream.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct WorkNews {
+pub(super) struct WorkMessage {
     /// The upstreams that have any.
     #[prost(message, repeated, tag = "1")]
-    pub(super) on: Vec<WorkOn>,
+    pub(super) on: Vec<UpstreamWork>,
 }
 
 /// Work in progress on one upstream.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct WorkOn {
+pub(super) struct UpstreamWork {
     /// A hash of the instance's name.
     #[prost(fixed64, tag = "1")]
     pub(super) upstream: u64,
@@ -294,7 +294,7 @@
 
 /// The usual time of a version that is in force, at a load.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct TimeNews {
+pub(super) struct BaselineMessage {
     /// The service.
     #[prost(string, tag = "1")]
     pub(super) service: String,
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -14,29 +14,28 @@
 //! An entry that starts knows nobody. It asks the seeds of its settings, as if they were relays;
 //! while the store is away they tell what they knew last, which is what they serve by themselves.
 
-mod answer;
-mod asked;
+mod baselines;
 mod cached_row;
+mod client;
 mod connection;
-mod ends;
+mod crashes;
 mod evidence;
 mod feed_cache;
+mod health;
 mod limits;
 mod list;
 mod messages;
 mod packing;
+mod poll_targets;
 mod relayed_store;
+mod response;
+mod rollout_decisions;
 mod route;
 mod seeds;
 mod server;
-mod standings;
 mod starting;
-mod teller;
-mod usual_times;
-mod verdicts;
-mod work_news;
+mod work;
 
-pub(crate) use asked::follows_store;
 pub(crate) use evidence::publish_evidence;
 pub use feed_cache::FeedCache;
 pub use feed_cache::Origin;
@@ -44,6 +43,7 @@
 pub use list::PeerList;
 pub use packing::pack;
 pub use packing::unpack;
+pub(crate) use poll_targets::follows_store;
 pub(crate) use relayed_store::RelayedStore;
 pub(crate) use server::PeerServer;
-pub(crate) use work_news::publish_work;
+pub(crate) use work::publish_work;
--- a/crates/gateway/src/peers/packing.rs
+++ b/crates/gateway/src/peers/packing.rs
@@ -13,7 +13,7 @@
 use zstd::stream::write::Encoder;
 
 /// Values from this size on are packed: a shorter one gains less than its packing costs.
-pub(super) const PACKED_FROM_BYTES: usize = 1 << 10;
+pub(super) const MIN_PACKED_BYTES: usize = 1 << 10;
 
 /// The largest value that is unpacked: a packed one does not say how large it becomes.
 pub(super) const MAX_VALUE_BYTES: usize = 8 << 20;
--- a/crates/gateway/src/peers/asked.rs
+++ b/crates/gateway/src/peers/poll_targets.rs
@@ -12,11 +12,11 @@
 /// How long after its start an entry asks the seeds while it knows too few others. By then all
 /// that have started with it have listed themselves; a fleet that is still so small follows the
 /// store itself.
-const ASKS_SEEDS_FOR: Duration = Duration::from_secs(10);
+const STARTUP_PERIOD: Duration = Duration::from_secs(10);
 
 /// Whether an entry has started so lately that others may be starting with it.
 pub(super) fn is_starting(state: &GatewayState) -> bool {
-    state.now().since(MonoTime::default()) < ASKS_SEEDS_FOR
+    state.now().since(MonoTime::default()) < STARTUP_PERIOD
 }
 
 /// Whom this entry asks, in order; nobody if it follows the store itself.
@@ -29,9 +29,9 @@
     if peers.count() > RELAYS {
         return peers.poll_targets().into_iter().map(|(_, addr)| addr).collect();
     }
-    let own_place = peers.own_place();
+    let rotation_offset = peers.rotation_offset();
     drop(peers);
-    if is_starting(state) { other_seeds(state, own_place) } else { Vec::new() }
+    if is_starting(state) { other_seeds(state, rotation_offset) } else { Vec::new() }
 }
 
 /// Whether this entry follows the store itself.
@@ -40,13 +40,13 @@
 }
 
 /// The seeds, beginning with another one at each entry; nobody if this entry is one of them.
-fn other_seeds(state: &GatewayState, own_place: usize) -> Vec<SocketAddr> {
+fn other_seeds(state: &GatewayState, rotation_offset: usize) -> Vec<SocketAddr> {
     let settings = &state.settings;
     if settings.seeds.contains(&settings.peers_addr) {
         return Vec::new();
     }
     let mut seeds: Vec<_> = seeds::seeds(settings).collect();
-    let begin = own_place % seeds.len().max(1);
+    let begin = rotation_offset % seeds.len().max(1);
     seeds.rotate_left(begin);
     seeds
 }
--- a/crates/gateway/src/peers/relayed_store.rs
+++ b/crates/gateway/src/peers/relayed_store.rs
@@ -16,25 +16,25 @@
 use tokio::sync::Mutex;
 use tokio::time::timeout;
 
-use super::answer::Answer;
-use super::asked::asked;
-use super::asked::follows_store;
-use super::asked::is_starting;
+use super::baselines::apply_baselines;
 use super::connection::PeerError;
 use super::connection::connect;
 use super::connection::exchange;
-use super::ends::take_ends;
-use super::evidence::kept_sessions;
-use super::evidence::own_evidence;
-use super::evidence::take_sessions;
+use super::crashes::apply_crashes;
+use super::evidence::apply_sessions;
+use super::evidence::local_evidence;
+use super::evidence::pinned_sessions;
 use super::feed_cache::LIVENESS_FEED;
 use super::feed_cache::Origin;
-use super::messages::Ask;
 use super::messages::HeldRow;
+use super::messages::PeerRequest;
 use super::messages::feed_number;
+use super::poll_targets::asked;
+use super::poll_targets::follows_store;
+use super::poll_targets::is_starting;
+use super::response::PeerResponse;
 use super::route::Route;
-use super::seeds::ask_seeds;
-use super::usual_times::take_times;
+use super::seeds::request_from_seeds;
 use crate::control_store::Change;
 use crate::control_store::ControlStore;
 use crate::control_store::ControlStoreError;
@@ -70,7 +70,7 @@
 
 /// A store that has not answered within this time is taken to be away at a start. It takes
 /// 4 ms when it is well.
-const SEEDS_AFTER: Duration = Duration::from_millis(300);
+const SEEDS_DELAY: Duration = Duration::from_millis(300);
 
 /// How long the store is asked directly after no other entry could answer.
 const DIRECT_FOR: Duration = Duration::from_secs(8);
@@ -84,19 +84,19 @@
 const WHOLE_ANSWER_SLACK: Duration = Duration::from_millis(200);
 
 /// How long a failure of one feed speaks for the others: it is tried again in less.
-const STORE_AWAY_FOR: Duration = Duration::from_secs(2);
+const STORE_UNAVAILABLE_FOR: Duration = Duration::from_secs(2);
 
 /// While others ask this entry, it asks the store at least so often, as its copies are of
 /// no use to them when they are older.
 const FRESH_WAIT: Duration = Duration::from_millis(900);
 
 /// News of so many bytes have a log line of their own: what takes long to come shows there.
-const LARGE_NEWS_BYTES: usize = 32 << 10;
+const LARGE_UPDATE_BYTES: usize = 32 << 10;
 
 /// An answer, unpacked, and the bytes that it took on its way.
 #[derive(Debug)]
-struct Arrived {
-    answer: Answer,
+struct ReceivedResponse {
+    response: PeerResponse,
     travelled_bytes: usize,
 }
 
@@ -107,17 +107,17 @@
     store: Arc<S>,
     pub(super) routes: HashMap<Feed, Mutex<Route>>,
     /// When the store failed to answer about the feed that proves it, and has not answered since.
-    store_away: parking_lot::Mutex<Option<MonoTime>>,
+    store_unavailable_since: parking_lot::Mutex<Option<MonoTime>>,
 }
 
 impl<S: ControlStore> RelayedStore<S> {
     pub(crate) fn new(state: Arc<GatewayState>, store: Arc<S>) -> Self {
         let routes = Feed::ALL.into_iter().map(|feed| (feed, Mutex::default())).collect();
-        Self { state, store, routes, store_away: parking_lot::Mutex::default() }
+        Self { state, store, routes, store_unavailable_since: parking_lot::Mutex::default() }
     }
 
     /// Asks other entries in turn; none when the store is to be asked.
-    pub(super) async fn ask_peers(
+    pub(super) async fn request_from_peers(
         &self,
         feed: Feed,
         after: Option<StoreVersion>,
@@ -136,7 +136,7 @@
             }
             if let Some(page) = self.fresh_page(&mut route, addr, feed, after).await {
                 if let Ok(page) = &page {
-                    self.keep(feed, page, after.is_none(), Origin::OtherEntry);
+                    self.cache_page(feed, page, after.is_none(), Origin::OtherEntry);
                 }
                 self.state.news_from.lock().insert(feed, Some(addr));
                 return Some(page);
@@ -163,19 +163,19 @@
     /// Reads a whole feed from the store; from a seed, however old, if the store is away.
     pub(super) async fn read_store(&self, feed: Feed) -> Result<FeedPage, ControlStoreError> {
         let mut reading = pin!(self.store.read(feed));
-        let read = timeout(SEEDS_AFTER, reading.as_mut()).await;
+        let read = timeout(SEEDS_DELAY, reading.as_mut()).await;
         if !matches!(read, Ok(Ok(_)))
-            && let Some(page) = ask_seeds(&self.state, feed).await
+            && let Some(page) = request_from_seeds(&self.state, feed).await
         {
-            self.keep(feed, &page, true, Origin::OtherEntry);
+            self.cache_page(feed, &page, true, Origin::OtherEntry);
             return Ok(page);
         }
         let read = match read {
             Ok(read) => read,
             Err(_) => reading.await,
         };
-        let page = self.answered_by_store(feed, read).await?;
-        self.keep_from_store(feed, &page, true);
+        let page = self.record_store_result(feed, read).await?;
+        self.cache_store_page(feed, &page, true);
         Ok(page)
     }
 
@@ -187,12 +187,12 @@
         feed: Feed,
         after: Option<StoreVersion>,
     ) -> Option<Result<FeedPage, ControlStoreError>> {
-        match self.ask_peer(route, addr, feed, after).await {
-            Ok(arrived) if !arrived.answer.has_copy => None,
-            Ok(Arrived { answer, travelled_bytes }) => {
-                let page = answer.into_page(self.state.feed_cache.era(feed));
+        match self.request_from_peer(route, addr, feed, after).await {
+            Ok(arrived) if !arrived.response.has_copy => None,
+            Ok(ReceivedResponse { response, travelled_bytes }) => {
+                let page = response.into_page(self.state.feed_cache.era(feed));
                 let bytes = page.as_ref().map_or(0, FeedPage::value_bytes);
-                self.received(feed, Origin::OtherEntry, bytes, travelled_bytes);
+                self.record_received(feed, Origin::OtherEntry, bytes, travelled_bytes);
                 Some(page)
             }
             Err(error) => {
@@ -208,7 +208,7 @@
     }
 
     /// Keeps a copy of what was read: of the whole feed, or of its changes.
-    fn keep(&self, feed: Feed, page: &FeedPage, is_whole: bool, origin: Origin) {
+    fn cache_page(&self, feed: Feed, page: &FeedPage, is_whole: bool, origin: Origin) {
         let now = self.state.now();
         if is_whole {
             self.state.feed_cache.replace(now, feed, page, origin);
@@ -217,13 +217,13 @@
         }
     }
 
-    async fn ask_peer(
+    async fn request_from_peer(
         &self,
         route: &mut Route,
         addr: SocketAddr,
         feed: Feed,
         after: Option<StoreVersion>,
-    ) -> Result<Arrived, PeerError> {
+    ) -> Result<ReceivedResponse, PeerError> {
         // Taken out while a question is under way: the answer to one that is not waited for any more
         // must not be taken for that to the next one.
         let known = route.connection.take().filter(|(connected, _)| *connected == addr);
@@ -235,30 +235,30 @@
             Some(_) => (self.wait_for(feed), ANSWER_SLACK),
             None => (WHOLE_WAIT, WHOLE_ANSWER_SLACK),
         };
-        let ask = Ask {
+        let request = PeerRequest {
             feed: feed_number(feed),
             after: after.map(|after| after.number),
             store_era: Some(self.era(feed, after).0),
             wait_ms: wait.as_millis() as u64,
             host: self.state.settings.host.id.to_string(),
-            is_unpacking: true,
+            accepts_packed: true,
             held: self.held(feed),
-            ..self.news_for(feed)
+            ..self.updates_for(feed)
         };
-        let mut answer = exchange(&mut connection, &ask, wait + slack).await?;
+        let mut response = exchange(&mut connection, &request, wait + slack).await?;
         route.connection = Some((addr, connection));
-        let travelled_bytes = answer.encoded_len();
-        answer.unpack(feed, &self.state.feed_cache).map_err(PeerError::Unpackable)?;
-        take_sessions(&self.state, &answer.sessions);
-        take_times(&self.state, &answer.times);
-        take_ends(&self.state, &answer.ends);
-        Ok(Arrived { answer, travelled_bytes })
+        let travelled_bytes = response.encoded_len();
+        response.unpack(feed, &self.state.feed_cache).map_err(PeerError::Unpackable)?;
+        apply_sessions(&self.state, &response.sessions);
+        apply_baselines(&self.state, &response.times);
+        apply_crashes(&self.state, &response.ends);
+        Ok(ReceivedResponse { response, travelled_bytes })
     }
 
     /// Counts news, and logs them if they are large.
-    fn received(&self, feed: Feed, origin: Origin, bytes: usize, travelled_bytes: usize) {
+    fn record_received(&self, feed: Feed, origin: Origin, bytes: usize, travelled_bytes: usize) {
         self.state.metrics.record_feed_bytes(origin, travelled_bytes);
-        if bytes >= LARGE_NEWS_BYTES {
+        if bytes >= LARGE_UPDATE_BYTES {
             log::info!(
                 feed:? = feed,
                 origin:? = origin,
@@ -272,20 +272,20 @@
     /// What the store itself has answered. Where it did not answer, other entries are asked again
     /// at the next try: the store may turn this entry away and serve others. With the store asked
     /// for 8 s all the same, one that was turned away had a configuration 9 s after the first.
-    async fn answered_by_store(
+    async fn record_store_result(
         &self,
         feed: Feed,
-        answer: Result<FeedPage, ControlStoreError>,
+        response: Result<FeedPage, ControlStoreError>,
     ) -> Result<FeedPage, ControlStoreError> {
         let is_away =
-            matches!(&answer, Err(error) if !matches!(error, ControlStoreError::HistoryGone));
+            matches!(&response, Err(error) if !matches!(error, ControlStoreError::HistoryGone));
         if feed == LIVENESS_FEED {
-            *self.store_away.lock() = is_away.then(|| self.state.now());
+            *self.store_unavailable_since.lock() = is_away.then(|| self.state.now());
         }
         if let Some(route) = self.routes.get(&feed).filter(|_| is_away) {
             route.lock().await.direct_until = MonoTime::default();
         }
-        answer
+        response
     }
 
     /// Whether the store is not asked about a feed, as it does not answer about another one.
@@ -293,18 +293,18 @@
     /// While it is away each entry tries it again and again, as it may serve some and turn others
     /// away. One feed is enough for that; with three, 103 entries made 1,700 calls in 8 s. Those
     /// that others ask try for each feed.
-    fn is_store_away(&self, feed: Feed) -> bool {
-        let failed = *self.store_away.lock();
-        let is_recent = failed.is_some_and(|at| self.state.now().since(at) < STORE_AWAY_FOR);
+    fn is_store_unavailable(&self, feed: Feed) -> bool {
+        let failed = *self.store_unavailable_since.lock();
+        let is_recent = failed.is_some_and(|at| self.state.now().since(at) < STORE_UNAVAILABLE_FOR);
         feed != LIVENESS_FEED && is_recent && !follows_store(&self.state)
     }
 
     /// Keeps what the store itself has answered.
-    fn keep_from_store(&self, feed: Feed, page: &FeedPage, is_whole: bool) {
+    fn cache_store_page(&self, feed: Feed, page: &FeedPage, is_whole: bool) {
         let bytes = page.value_bytes();
-        self.received(feed, Origin::Store, bytes, bytes);
+        self.record_received(feed, Origin::Store, bytes, bytes);
         self.state.news_from.lock().insert(feed, None);
-        self.keep(feed, page, is_whole, Origin::Store);
+        self.cache_page(feed, page, is_whole, Origin::Store);
     }
 
     /// The store's era by which a feed is known.
@@ -319,15 +319,15 @@
     }
 
     /// What the entry that is asked is told with the question.
-    fn news_for(&self, feed: Feed) -> Ask {
+    fn updates_for(&self, feed: Feed) -> PeerRequest {
         if feed != Feed::Rollouts {
-            return Ask::default();
+            return PeerRequest::default();
         }
-        Ask {
-            evidence: own_evidence(&self.state),
-            sessions: kept_sessions(&self.state, SessionScope::Local),
-            is_wanting_times: self.state.rollouts.lock().wants_times(),
-            ..Ask::default()
+        PeerRequest {
+            evidence: local_evidence(&self.state),
+            sessions: pinned_sessions(&self.state, SessionScope::Local),
+            needs_baselines: self.state.rollouts.lock().wants_times(),
+            ..PeerRequest::default()
         }
     }
 }
@@ -337,8 +337,8 @@
         if is_starting(&self.state) {
             return self.read_at_start(feed).await;
         }
-        match self.ask_peers(feed, None).await {
-            Some(answer) => answer,
+        match self.request_from_peers(feed, None).await {
+            Some(response) => response,
             None => self.read_store(feed).await,
         }
     }
@@ -349,10 +349,10 @@
         after: StoreVersion,
         wait: Duration,
     ) -> Result<FeedPage, ControlStoreError> {
-        if let Some(answer) = self.ask_peers(feed, Some(after)).await {
-            return answer;
+        if let Some(response) = self.request_from_peers(feed, Some(after)).await {
+            return response;
         }
-        if self.is_store_away(feed) {
+        if self.is_store_unavailable(feed) {
             let cause = "it does not answer about other feeds".to_owned();
             return Err(ControlStoreError::NotReached(cause));
         }
@@ -365,11 +365,11 @@
         let wait = if is_proof { wait.min(FRESH_WAIT) } else { wait };
         let is_reached = self.state.feed_cache.is_from_store(feed);
         let wait = if is_reached { wait } else { wait.min(FIRST_DIRECT_WAIT) };
-        let waiting = self.state.feed_cache.wait(feed);
+        let pending = self.state.feed_cache.begin_follow(feed);
         let page = self.store.follow(feed, after, wait).await;
-        drop(waiting);
-        let page = self.answered_by_store(feed, page).await?;
-        self.keep_from_store(feed, &page, false);
+        drop(pending);
+        let page = self.record_store_result(feed, page).await?;
+        self.cache_store_page(feed, &page, false);
         Ok(page)
     }
 
--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/response.rs
@@ -8,17 +8,17 @@
 use stallhoist_core::StoreVersion;
 
 use super::feed_cache::FeedCache;
-use super::messages::Ask;
-use super::messages::EndOf;
+use super::messages::BaselineMessage;
+use super::messages::CrashMessage;
+use super::messages::DecisionMessage;
+use super::messages::HealthMessage;
 use super::messages::HeldRow;
-use super::messages::LimitNews;
+use super::messages::LimitMessage;
+use super::messages::PeerRequest;
 use super::messages::Session;
-use super::messages::StandingNews;
-use super::messages::TimeNews;
-use super::messages::VerdictNews;
-use super::messages::WorkNews;
+use super::messages::WorkMessage;
 use super::packing::MAX_VALUE_BYTES;
-use super::packing::PACKED_FROM_BYTES;
+use super::packing::MIN_PACKED_BYTES;
 use super::packing::pack;
 use super::packing::unpack;
 use crate::control_store::ControlStoreError;
@@ -28,13 +28,13 @@
 
 /// The answer.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct Answer {
+pub(super) struct PeerResponse {
     /// Whether there is a fresh copy of the feed here.
     #[prost(bool, tag = "1")]
     pub(super) has_copy: bool,
     /// Whether changes after the version are no longer known.
     #[prost(bool, tag = "2")]
-    pub(super) is_history_gone: bool,
+    pub(super) history_gone: bool,
     /// The rows.
     #[prost(message, repeated, tag = "3")]
     pub(super) rows: Vec<Row>,
@@ -49,25 +49,25 @@
     pub(super) sessions: Vec<Session>,
     /// The work that all entries but the one that asked have in progress, if it told its own.
     #[prost(message, optional, tag = "7")]
-    pub(super) work: Option<WorkNews>,
+    pub(super) work: Option<WorkMessage>,
     /// What is known here of the ends of roll-outs, in the same case.
     #[prost(message, repeated, tag = "8")]
-    pub(super) verdicts: Vec<VerdictNews>,
+    pub(super) verdicts: Vec<DecisionMessage>,
     /// The usual times of versions that are in force, if they were wanted.
     #[prost(message, repeated, tag = "9")]
-    pub(super) times: Vec<TimeNews>,
+    pub(super) times: Vec<BaselineMessage>,
     /// The rows, packed together in place of one by one: [`Rows`].
     #[prost(bytes = "bytes", optional, tag = "10")]
     pub(super) packed_rows: Option<Bytes>,
     /// Upstreams that are not well, if work was told.
     #[prost(message, repeated, tag = "11")]
-    pub(super) standings: Vec<StandingNews>,
+    pub(super) standings: Vec<HealthMessage>,
     /// Upstreams that ended while they ran a request, if work was told or the feed was read whole.
     #[prost(message, repeated, tag = "12")]
-    pub(super) ends: Vec<EndOf>,
+    pub(super) ends: Vec<CrashMessage>,
     /// Limits that upstreams have named, if no feed was asked for.
     #[prost(message, repeated, tag = "13")]
-    pub(super) limits: Vec<LimitNews>,
+    pub(super) limits: Vec<LimitMessage>,
     /// The store's era that the versions are of. An entry of a former version tells none.
     #[prost(uint64, optional, tag = "14")]
     pub(super) store_era: Option<u64>,
@@ -109,7 +109,7 @@
     pub(super) base_version: Option<u64>,
 }
 
-impl Answer {
+impl PeerResponse {
     pub(super) fn of(page: FeedPage) -> Self {
         let row = |row: FeedRow| Row {
             key: row.key,
@@ -119,7 +119,7 @@
         };
         Self {
             has_copy: true,
-            is_history_gone: false,
+            history_gone: false,
             rows: page.rows.into_iter().map(row).collect(),
             version: page.version.number,
             store_now_ms: page.store_now_ms,
@@ -131,14 +131,14 @@
     /// Packs large rows by themselves, as differences to what the one that has asked holds of
     /// them, and then all rows together: a list of 3,000 upstreams has as many short rows that
     /// are much alike.
-    pub(super) fn pack(&mut self, feed: Feed, ask: &Ask, feed_cache: &FeedCache) {
-        if !ask.is_unpacking {
+    pub(super) fn pack(&mut self, feed: Feed, request: &PeerRequest, feed_cache: &FeedCache) {
+        if !request.accepts_packed {
             return;
         }
         let era = self.era(StoreEra::default());
         // The same number stands for another value in another era.
-        let is_same_era = ask.store_era == self.store_era;
-        let held: &[HeldRow] = if is_same_era { &ask.held } else { &[] };
+        let is_same_era = request.store_era == self.store_era;
+        let held: &[HeldRow] = if is_same_era { &request.held } else { &[] };
         for row in &mut self.rows {
             let held = held.iter().find(|held| held.key == row.key);
             let held = held.map(|held| StoreVersion { era, number: held.version });
@@ -152,11 +152,11 @@
             row.value = None;
         }
         let rows_bytes: usize = self.rows.iter().map(Message::encoded_len).sum();
-        if !(PACKED_FROM_BYTES..=MAX_VALUE_BYTES).contains(&rows_bytes) {
+        if !(MIN_PACKED_BYTES..=MAX_VALUE_BYTES).contains(&rows_bytes) {
             return;
         }
         let rows = Rows { rows: std::mem::take(&mut self.rows) };
-        let is_whole = ask.after.is_none() && held.is_empty();
+        let is_whole = request.after.is_none() && held.is_empty();
         let version = StoreVersion { era, number: self.version };
         let pack_rows = || pack(&rows.encode_to_vec(), None);
         let packed =
@@ -204,7 +204,7 @@
     /// # Errors
     /// [`ControlStoreError::HistoryGone`] when changes after the version are not known.
     pub(super) fn into_page(self, known: StoreEra) -> Result<FeedPage, ControlStoreError> {
-        if self.is_history_gone {
+        if self.history_gone {
             return Err(ControlStoreError::HistoryGone);
         }
         let era = self.era(known);
--- a/crates/gateway/src/peers/verdicts.rs
+++ b/crates/gateway/src/peers/rollout_decisions.rs
@@ -2,15 +2,15 @@
 
 use stallhoist_core::StoreVersion;
 
-use super::messages::VerdictNews;
+use super::messages::DecisionMessage;
 use crate::rollouts::Ending;
 use crate::rollouts::RolloutDecision;
 use crate::state::GatewayState;
 
 /// What this entry knows.
-pub(super) fn own_verdicts(state: &GatewayState) -> Vec<VerdictNews> {
+pub(super) fn local_decisions(state: &GatewayState) -> Vec<DecisionMessage> {
     let verdicts = state.rollouts.lock().verdicts();
-    let message = |verdict: &RolloutDecision| VerdictNews {
+    let message = |verdict: &RolloutDecision| DecisionMessage {
         service: verdict.service.to_string(),
         order_version: verdict.order_version.number,
         is_completed: verdict.ending == Ending::Completed,
@@ -19,7 +19,7 @@
 }
 
 /// Takes in what another entry knows.
-pub(super) fn take_verdicts(state: &GatewayState, told: &[VerdictNews]) {
+pub(super) fn apply_decisions(state: &GatewayState, told: &[DecisionMessage]) {
     for news in told {
         match news.service.parse() {
             Ok(service) => {
--- a/crates/gateway/src/peers/seeds.rs
+++ b/crates/gateway/src/peers/seeds.rs
@@ -7,18 +7,18 @@
 use stallhoist_core::StoreEra;
 use stallhoist_settings::GatewaySettings;
 
-use super::answer::Answer;
 use super::connection::PeerError;
-use super::connection::ask_once;
+use super::connection::request_once;
 use super::feed_cache::Origin;
-use super::messages::Ask;
+use super::messages::PeerRequest;
 use super::messages::feed_number;
+use super::response::PeerResponse;
 use crate::control_store::Feed;
 use crate::control_store::FeedPage;
 use crate::state::GatewayState;
 
 /// How long a seed may take to begin its answer.
-const BEGINS_WITHIN: Duration = Duration::from_millis(400);
+const RESPONSE_START_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The seeds of the settings, as far as they are addresses.
 pub(super) fn seeds(settings: &GatewaySettings) -> impl Iterator<Item = SocketAddr> {
@@ -26,16 +26,16 @@
 }
 
 /// What the seeds knew last of a feed that was never read here; none when no seed knows.
-pub(super) async fn ask_seeds(state: &GatewayState, feed: Feed) -> Option<FeedPage> {
+pub(super) async fn request_from_seeds(state: &GatewayState, feed: Feed) -> Option<FeedPage> {
     if state.feed_cache.has(feed) {
         return None;
     }
     for addr in seeds(&state.settings) {
-        match ask_seed(state, addr, feed).await {
-            Ok(answer) if answer.has_copy => {
+        match request_from_seed(state, addr, feed).await {
+            Ok(response) if response.has_copy => {
                 log::info!(feed:? = feed, addr:% = addr; "the store is away, a seed answered");
                 state.news_from.lock().insert(feed, Some(addr));
-                return answer.into_page(StoreEra::default()).ok();
+                return response.into_page(StoreEra::default()).ok();
             }
             Ok(_) => log::debug!(feed:? = feed, addr:% = addr; "a seed knows nothing either"),
             Err(error) => {
@@ -46,11 +46,19 @@
     None
 }
 
-async fn ask_seed(state: &GatewayState, addr: SocketAddr, feed: Feed) -> Result<Answer, PeerError> {
-    let ask =
-        Ask { feed: feed_number(feed), is_any_age: true, is_unpacking: true, ..Ask::default() };
-    let mut answer = ask_once(addr, &ask, BEGINS_WITHIN).await?;
-    state.metrics.record_feed_bytes(Origin::OtherEntry, answer.encoded_len());
-    answer.unpack(feed, &state.feed_cache).map_err(PeerError::Unpackable)?;
-    Ok(answer)
+async fn request_from_seed(
+    state: &GatewayState,
+    addr: SocketAddr,
+    feed: Feed,
+) -> Result<PeerResponse, PeerError> {
+    let request = PeerRequest {
+        feed: feed_number(feed),
+        accepts_stale: true,
+        accepts_packed: true,
+        ..PeerRequest::default()
+    };
+    let mut response = request_once(addr, &request, RESPONSE_START_TIMEOUT).await?;
+    state.metrics.record_feed_bytes(Origin::OtherEntry, response.encoded_len());
+    response.unpack(feed, &state.feed_cache).map_err(PeerError::Unpackable)?;
+    Ok(response)
 }
--- a/crates/gateway/src/peers/server.rs
+++ b/crates/gateway/src/peers/server.rs
@@ -15,30 +15,30 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-use super::answer::Answer;
-use super::asked::follows_store;
+use super::baselines::local_baselines;
 use super::connection::PeerError;
 use super::connection::framed;
 use super::connection::send;
-use super::ends::all_ends;
-use super::ends::own_ends;
-use super::ends::take_ends;
-use super::evidence::kept_sessions;
-use super::evidence::take_sessions;
+use super::crashes::all_crashes;
+use super::crashes::apply_crashes;
+use super::crashes::local_crashes;
+use super::evidence::apply_sessions;
+use super::evidence::pinned_sessions;
+use super::health::apply_health;
+use super::health::local_health;
 use super::limits::all_limits;
-use super::limits::own_limits;
-use super::limits::take_limits;
-use super::messages::Ask;
+use super::limits::apply_limits;
+use super::limits::local_limits;
 use super::messages::Evidence;
-use super::messages::WorkNews;
+use super::messages::PeerRequest;
+use super::messages::WorkMessage;
 use super::messages::feed_of;
-use super::standings::own_standings;
-use super::standings::take_standings;
-use super::usual_times::own_times;
-use super::verdicts::own_verdicts;
-use super::verdicts::take_verdicts;
-use super::work_news::answer_to;
-use super::work_news::take_work;
+use super::poll_targets::follows_store;
+use super::response::PeerResponse;
+use super::rollout_decisions::apply_decisions;
+use super::rollout_decisions::local_decisions;
+use super::work::apply_work;
+use super::work::fleet_work_for;
 use crate::control_store::ControlStoreError;
 use crate::control_store::Feed;
 use crate::sessions::SessionScope;
@@ -111,55 +111,67 @@
         let Some(frame) = next.map_err(|_| PeerError::TimedOut)? else {
             return Ok(());
         };
-        let ask = Ask::decode(frame?)?;
-        let answer = answer(&state, ask).await;
-        send(&mut messages, &answer).await?;
+        let request = PeerRequest::decode(frame?)?;
+        let response = response(&state, request).await;
+        send(&mut messages, &response).await?;
     }
 }
 
-async fn answer(state: &GatewayState, ask: Ask) -> Answer {
-    for evidence in &ask.evidence {
-        take_evidence(state, &ask.host, evidence);
+async fn response(state: &GatewayState, request: PeerRequest) -> PeerResponse {
+    for evidence in &request.evidence {
+        apply_evidence(state, &request.host, evidence);
     }
-    take_sessions(state, &ask.sessions);
-    take_verdicts(state, &ask.verdicts);
-    take_standings(state, &ask.standings);
-    take_ends(state, &ask.ends);
-    take_limits(state, &ask.limits);
-    let work = exchange_work(state, &ask);
-    let times = own_times(state, ask.is_wanting_times);
+    apply_sessions(state, &request.sessions);
+    apply_decisions(state, &request.verdicts);
+    apply_health(state, &request.standings);
+    apply_crashes(state, &request.ends);
+    apply_limits(state, &request.limits);
+    let work = exchange_work(state, &request);
+    let times = local_baselines(state, request.needs_baselines);
     // What is told here asks for no feed.
-    let Some(feed) = feed_of(ask.feed) else {
-        let (verdicts, standings) = (own_verdicts(state), own_standings(state));
-        let ends = own_ends(state);
-        let limits = if ask.is_starting { all_limits(state) } else { own_limits(state) };
-        return Answer { work, verdicts, standings, times, ends, limits, ..Answer::default() };
+    let Some(feed) = feed_of(request.feed) else {
+        let (verdicts, standings) = (local_decisions(state), local_health(state));
+        let ends = local_crashes(state);
+        let limits = if request.is_starting { all_limits(state) } else { local_limits(state) };
+        return PeerResponse {
+            work,
+            verdicts,
+            standings,
+            times,
+            ends,
+            limits,
+            ..PeerResponse::default()
+        };
     };
     let now = state.now();
-    if ask.is_any_age {
+    if request.accepts_stale {
         let known = state.feed_cache.last_known(now, feed);
-        let mut answer = known.map_or_else(Answer::default, Answer::of);
-        answer.pack(feed, &ask, &state.feed_cache);
-        return answer;
+        let mut response = known.map_or_else(PeerResponse::default, PeerResponse::of);
+        response.pack(feed, &request, &state.feed_cache);
+        return response;
     }
     state.feed_cache.record_poll(now);
-    let until = now.after(Duration::from_millis(ask.wait_ms).min(MAX_WAIT));
-    let after = ask.after.map(|number| StoreVersion { era: era_of(state, feed, &ask), number });
-    let mut answer = page(state, feed, after, until).await;
-    answer.pack(feed, &ask, &state.feed_cache);
+    let until = now.after(Duration::from_millis(request.wait_ms).min(MAX_WAIT));
+    let after = request
+        .after
+        .map(|number| StoreVersion { era: requested_era(state, feed, &request), number });
+    let mut response = page(state, feed, after, until).await;
+    response.pack(feed, &request, &state.feed_cache);
     match feed {
         Feed::Rollouts => {
-            Answer { sessions: kept_sessions(state, SessionScope::All), times, ..answer }
+            PeerResponse { sessions: pinned_sessions(state, SessionScope::All), times, ..response }
+        }
+        Feed::FatalRequests if request.after.is_none() => {
+            PeerResponse { ends: all_crashes(state), ..response }
         }
-        Feed::FatalRequests if ask.after.is_none() => Answer { ends: all_ends(state), ..answer },
-        _ => answer,
+        _ => response,
     }
 }
 
 /// The store's era by which the one that asks knows a feed. One of a former version tells none, and is
 /// taken to know the same as this entry.
-fn era_of(state: &GatewayState, feed: Feed, ask: &Ask) -> StoreEra {
-    ask.store_era.map_or_else(|| state.feed_cache.era(feed), StoreEra)
+fn requested_era(state: &GatewayState, feed: Feed, request: &PeerRequest) -> StoreEra {
+    request.store_era.map_or_else(|| state.feed_cache.era(feed), StoreEra)
 }
 
 /// Waits until there is something to say.
@@ -168,22 +180,26 @@
     feed: Feed,
     after: Option<StoreVersion>,
     until: MonoTime,
-) -> Answer {
+) -> PeerResponse {
     loop {
         let changed = state.feed_cache.changed();
         let now = state.now();
         match state.feed_cache.page(now, feed, after) {
             None if is_being_read(state, feed, now) && now < until => {}
-            None => return Answer::default(),
+            None => return PeerResponse::default(),
             Some(Err(ControlStoreError::HistoryGone)) => {
-                return Answer { has_copy: true, is_history_gone: true, ..Answer::default() };
+                return PeerResponse {
+                    has_copy: true,
+                    history_gone: true,
+                    ..PeerResponse::default()
+                };
             }
             Some(Err(error)) => {
                 log::error!(feed:? = feed, error:% = error; "a copy cannot be read");
-                return Answer::default();
+                return PeerResponse::default();
             }
             Some(Ok(page)) if !page.rows.is_empty() || after.is_none() || now >= until => {
-                return Answer::of(page);
+                return PeerResponse::of(page);
             }
             Some(Ok(_)) => {}
         }
@@ -208,27 +224,27 @@
 fn is_being_read(state: &GatewayState, feed: Feed, now: MonoTime) -> bool {
     let is_fresh = |feed| state.feed_cache.fresh_until(feed).is_some_and(|until| now <= until);
     let will_follow_store = !state.feed_cache.is_from_store(feed) && follows_store(state);
-    let is_on_the_way = matches!(feed, Feed::Rollouts | Feed::FatalRequests);
-    will_follow_store || (is_on_the_way && is_fresh(Feed::Operators))
+    let is_expected = matches!(feed, Feed::Rollouts | Feed::FatalRequests);
+    will_follow_store || (is_expected && is_fresh(Feed::Operators))
 }
 
 /// Takes in the work that an entry tells, and gives that of the others.
-fn exchange_work(state: &GatewayState, ask: &Ask) -> Option<WorkNews> {
-    let news = ask.work.as_ref()?;
-    match ask.host.parse::<HostId>() {
+fn exchange_work(state: &GatewayState, request: &PeerRequest) -> Option<WorkMessage> {
+    let news = request.work.as_ref()?;
+    match request.host.parse::<HostId>() {
         Ok(host) => {
-            let answer = answer_to(state, &host);
-            take_work(state, host, Some(news));
-            answer
+            let response = fleet_work_for(state, &host);
+            apply_work(state, host, Some(news));
+            response
         }
         Err(error) => {
-            log::warn!(host = ask.host, error:% = error; "work of no host ignored");
+            log::warn!(host = request.host, error:% = error; "work of no host ignored");
             None
         }
     }
 }
 
-fn take_evidence(state: &GatewayState, host: &str, evidence: &Evidence) {
+fn apply_evidence(state: &GatewayState, host: &str, evidence: &Evidence) {
     let (Ok(host), Ok(service)) = (host.parse(), evidence.service.parse()) else {
         log::warn!(host, service = evidence.service; "evidence of no host or service ignored");
         return;
--- a/crates/gateway/src/peers/starting.rs
+++ b/crates/gateway/src/peers/starting.rs
@@ -9,8 +9,8 @@
 use stallhoist_core::MonoTime;
 use tokio::time::timeout;
 
-use super::asked::asked;
-use super::asked::is_starting;
+use super::poll_targets::asked;
+use super::poll_targets::is_starting;
 use super::relayed_store::RelayedStore;
 use crate::control_store::ControlStore;
 use crate::control_store::ControlStoreError;
@@ -18,39 +18,39 @@
 use crate::control_store::FeedPage;
 
 /// How long an entry that starts tries to reach those that may be starting too, and how often.
-const START_TRIES_FOR: Duration = Duration::from_millis(400);
-const START_TRY_EVERY: Duration = Duration::from_millis(50);
+const START_RETRY_TIME: Duration = Duration::from_millis(400);
+const START_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An entry that starts asks the store as well when others have not answered by then; those that are
 /// well answer in 10 to 30 ms. After a loss of power the hosts of those that it asks may not be up
 /// yet, and say nothing: it waited for 0.25 to 0.8 s, and callers with it.
-const HEDGE_AFTER: Duration = Duration::from_millis(60);
+const HEDGE_DELAY: Duration = Duration::from_millis(60);
 
 /// How long an entry that starts waits to learn who the other entries are before it asks for
 /// anything else: the seeds' links may be slow, the relays' are not. It takes 10 ms, or 90 ms where
 /// the store has to be asked.
-const ENTRIES_FIRST_FOR: Duration = Duration::from_millis(150);
+const ENTRIES_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl<S: ControlStore> RelayedStore<S> {
     /// Reads a whole feed, from whoever answers first.
     pub(super) async fn read_at_start(&self, feed: Feed) -> Result<FeedPage, ControlStoreError> {
-        self.entries_first(feed).await;
-        let mut others = Box::pin(self.ask_peers_at_start(feed));
-        if let Ok(answer) = timeout(HEDGE_AFTER, others.as_mut()).await {
-            return match answer {
-                Some(answer) => answer,
+        self.wait_for_entries(feed).await;
+        let mut others = Box::pin(self.request_from_peers_at_start(feed));
+        if let Ok(response) = timeout(HEDGE_DELAY, others.as_mut()).await {
+            return match response {
+                Some(response) => response,
                 None => self.read_store(feed).await,
             };
         }
         let mut store = pin!(self.read_store(feed));
         tokio::select! {
-            answer = others.as_mut() => match answer {
-                Some(answer) => answer,
+            response = others.as_mut() => match response {
+                Some(response) => response,
                 None => store.await,
             },
             read = store.as_mut() => {
-                if read.is_err() && let Some(answer) = others.as_mut().await {
-                    return answer;
+                if read.is_err() && let Some(response) = others.as_mut().await {
+                    return response;
                 }
                 read
             }
@@ -58,7 +58,7 @@
     }
 
     /// Waits a moment for the list of entries, if this one has just started.
-    async fn entries_first(&self, feed: Feed) {
+    async fn wait_for_entries(&self, feed: Feed) {
         if feed == Feed::Entries {
             return;
         }
@@ -71,25 +71,28 @@
                 changed.await;
             }
         };
-        let _ = timeout(ENTRIES_FIRST_FOR, listed).await;
+        let _ = timeout(ENTRIES_TIMEOUT, listed).await;
     }
 
     /// Asks other entries for a whole feed, again and again for a moment if this one has just
     /// started: when a whole fleet starts, those that it asks are not up yet.
-    async fn ask_peers_at_start(&self, feed: Feed) -> Option<Result<FeedPage, ControlStoreError>> {
-        let until = self.state.now().after(START_TRIES_FOR);
+    async fn request_from_peers_at_start(
+        &self,
+        feed: Feed,
+    ) -> Option<Result<FeedPage, ControlStoreError>> {
+        let until = self.state.now().after(START_RETRY_TIME);
         loop {
-            let answer = self.ask_peers(feed, None).await;
+            let response = self.request_from_peers(feed, None).await;
             let is_over = !is_starting(&self.state)
                 || self.state.now() >= until
                 || asked(&self.state).is_empty();
-            if answer.is_some() || is_over {
-                return answer;
+            if response.is_some() || is_over {
+                return response;
             }
             if let Some(route) = self.routes.get(&feed) {
                 route.lock().await.direct_until = MonoTime::default();
             }
-            tokio::time::sleep(START_TRY_EVERY).await;
+            tokio::time::sleep(START_RETRY_INTERVAL).await;
         }
     }
 }
--- a/crates/gateway/src/peers/work_news.rs
+++ b/crates/gateway/src/peers/work.rs
@@ -17,25 +17,25 @@
 use stallhoist_policy::balance::WorkByUpstream;
 use stallhoist_policy::balance::WorkInProgress;
 
-use super::ends::own_ends;
-use super::ends::take_ends;
-use super::limits::own_limits;
-use super::limits::take_limits;
-use super::messages::Ask;
-use super::messages::WorkNews;
-use super::messages::WorkOn;
-use super::standings::own_standings;
-use super::standings::take_standings;
-use super::teller::Teller;
-use super::verdicts::own_verdicts;
-use super::verdicts::take_verdicts;
+use super::client::PeerClient;
+use super::crashes::apply_crashes;
+use super::crashes::local_crashes;
+use super::health::apply_health;
+use super::health::local_health;
+use super::limits::apply_limits;
+use super::limits::local_limits;
+use super::messages::PeerRequest;
+use super::messages::UpstreamWork;
+use super::messages::WorkMessage;
+use super::rollout_decisions::apply_decisions;
+use super::rollout_decisions::local_decisions;
 use crate::state::GatewayState;
 
 /// How often it is told. With 50 ms the worth of days with faults was the same (0.705 and 0.704).
-const TELL_EVERY: Duration = Duration::from_millis(200);
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(200);
 
 /// When an upstream was found to be gone: those that are found together are told together.
-const URGENT_AFTER: Duration = Duration::from_millis(20);
+const URGENT_DELAY: Duration = Duration::from_millis(20);
 
 /// An entry that has not answered by then is told nothing for a while: older news is of no use.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
@@ -50,56 +50,59 @@
 
 /// Tells others of this entry's work, for ever.
 pub(crate) async fn publish_work(state: Arc<GatewayState>) {
-    let mut telling =
-        WorkTelling { state, teller: Teller::new(ANSWER_TIMEOUT), skipped_until: HashMap::new() };
-    let mut pause = TELL_EVERY;
+    let mut telling = WorkPublisher {
+        state,
+        client: PeerClient::new(ANSWER_TIMEOUT),
+        skipped_until: HashMap::new(),
+    };
+    let mut pause = PUBLISH_INTERVAL;
     loop {
-        pause_or_urgent(&telling.state, pause).await;
-        pause = pause_after(telling.tell_all().await);
+        wait_or_urgent(&telling.state, pause).await;
+        pause = publish_interval(telling.publish().await);
     }
 }
 
 /// Waits, but not for the whole pause when an upstream was found to be gone, or to have ended while it ran
 /// a request: until the others know, they find it out one by one, each by a caller's request.
-async fn pause_or_urgent(state: &GatewayState, pause: Duration) {
+async fn wait_or_urgent(state: &GatewayState, pause: Duration) {
     let urgent = async {
         tokio::select! {
             () = state.upstreams.found_over() => {}
             () = state.fatal.has_news() => {}
         }
-        tokio::time::sleep(URGENT_AFTER).await;
+        tokio::time::sleep(URGENT_DELAY).await;
     };
     let _ = tokio::time::timeout(pause, urgent).await;
 }
 
 /// What the task that tells others keeps.
 #[derive(Debug)]
-struct WorkTelling {
+struct WorkPublisher {
     state: Arc<GatewayState>,
-    teller: Teller,
+    client: PeerClient,
     /// Entries that did not answer.
     skipped_until: HashMap<SocketAddr, MonoTime>,
 }
 
-impl WorkTelling {
+impl WorkPublisher {
     /// Tells each of those to be told once. Gives how many items were sent and received.
-    async fn tell_all(&mut self) -> usize {
+    async fn publish(&mut self) -> usize {
         let now = self.state.now();
         self.state.upstreams.expire_fleet_work(now);
         self.skipped_until.retain(|_, until| now < *until);
         let news = group_work(&self.state);
-        let ask = Ask {
+        let request = PeerRequest {
             host: self.state.settings.host.id.to_string(),
-            work: Some(WorkNews::of(&news)),
-            verdicts: own_verdicts(&self.state),
-            standings: own_standings(&self.state),
-            ends: own_ends(&self.state),
-            limits: own_limits(&self.state),
-            ..Ask::default()
+            work: Some(WorkMessage::of(&news)),
+            verdicts: local_decisions(&self.state),
+            standings: local_health(&self.state),
+            ends: local_crashes(&self.state),
+            limits: local_limits(&self.state),
+            ..PeerRequest::default()
         };
         let mut items = 0;
         for (host, addr) in self.push_targets() {
-            items += news.len() + ask.limits.len() + self.tell(host, addr, &ask).await;
+            items += news.len() + request.limits.len() + self.tell(host, addr, &request).await;
         }
         items
     }
@@ -118,15 +121,15 @@
     }
 
     /// Tells one entry, and takes in its answer. Gives how many items that had.
-    async fn tell(&mut self, host: HostId, addr: SocketAddr, ask: &Ask) -> usize {
-        match self.teller.tell(addr, ask).await {
-            Ok(answer) => {
-                take_work(&self.state, host, answer.work.as_ref());
-                take_verdicts(&self.state, &answer.verdicts);
-                take_standings(&self.state, &answer.standings);
-                take_ends(&self.state, &answer.ends);
-                take_limits(&self.state, &answer.limits);
-                answer.work.map_or(0, |work| work.on.len())
+    async fn tell(&mut self, host: HostId, addr: SocketAddr, request: &PeerRequest) -> usize {
+        match self.client.tell(addr, request).await {
+            Ok(response) => {
+                apply_work(&self.state, host, response.work.as_ref());
+                apply_decisions(&self.state, &response.verdicts);
+                apply_health(&self.state, &response.standings);
+                apply_crashes(&self.state, &response.ends);
+                apply_limits(&self.state, &response.limits);
+                response.work.map_or(0, |work| work.on.len())
             }
             Err(error) => {
                 log::debug!(addr:% = addr, error:% = error; "work not told");
@@ -138,10 +141,10 @@
 }
 
 /// The pause after so many items were sent and received.
-fn pause_after(items: usize) -> Duration {
+fn publish_interval(items: usize) -> Duration {
     let bytes = items * BYTES_PER_UPSTREAM;
     let allowed = Duration::from_secs_f64(bytes as f64 / MAX_BYTES_PER_S as f64);
-    allowed.max(TELL_EVERY)
+    allowed.max(PUBLISH_INTERVAL)
 }
 
 /// The work of this entry and of those whose group it keeps.
@@ -152,23 +155,23 @@
 
 /// What an entry is answered that has told its work: that of all others, if it is in this
 /// entry's group. One that follows the store itself is told by this entry anyway.
-pub(super) fn answer_to(state: &GatewayState, host: &HostId) -> Option<WorkNews> {
+pub(super) fn fleet_work_for(state: &GatewayState, host: &HostId) -> Option<WorkMessage> {
     if state.peers.lock().relays().contains(host) {
         return None;
     }
-    Some(WorkNews::of(&state.upstreams.work(|other| other != host)))
+    Some(WorkMessage::of(&state.upstreams.work(|other| other != host)))
 }
 
 /// Takes in the work that another entry tells.
-pub(super) fn take_work(state: &GatewayState, host: HostId, news: Option<&WorkNews>) {
+pub(super) fn apply_work(state: &GatewayState, host: HostId, news: Option<&WorkMessage>) {
     if let Some(news) = news {
         state.upstreams.told_fleet_work(state.now(), host, news.work());
     }
 }
 
-impl WorkNews {
+impl WorkMessage {
     fn of(work: &WorkByUpstream) -> Self {
-        let on = |(key, work): (&UpstreamKey, &WorkInProgress)| WorkOn {
+        let on = |(key, work): (&UpstreamKey, &WorkInProgress)| UpstreamWork {
             upstream: key.0,
             requests: work.requests,
             reading_ms: work.reading_ms,
