--- a/crates/gateway/src/peers/baselines.rs
+++ b/crates/gateway/src/peers/baselines.rs
@@ -1,4 +1,4 @@
-//! Telling a starting entry the usual times of versions that are in force.
+//! Sends the baseline latencies of active versions to a gateway that has just started.
 
 use stallhoist_core::NameError;
 use stallhoist_core::StoreVersion;
@@ -10,35 +10,38 @@
 use crate::rollouts::BaselineUpdate;
 use crate::state::GatewayState;
 
-/// The most times that are told or taken in at once. Three routes, two models and six loads
-/// make 48.
+/// Maximum number of baselines sent or applied at once. Three routes, two models and six loads make
+/// 48.
 const MAX_BASELINES: usize = 500;
 
-/// The usual times that are known here, for one who wants them.
+/// The baseline latencies known locally, if the peer requested them.
 pub(super) fn local_baselines(state: &GatewayState, is_wanted: bool) -> Vec<BaselineMessage> {
     if !is_wanted {
         return Vec::new();
     }
     let known = state.rollouts.lock().baseline_updates();
-    known.into_iter().take(MAX_BASELINES).map(news_of).collect()
+    known.into_iter().take(MAX_BASELINES).map(to_message).collect()
 }
 
-/// Takes in what another entry tells.
-pub(super) fn apply_baselines(state: &GatewayState, news: &[BaselineMessage]) {
-    for news in news.iter().take(MAX_BASELINES) {
-        match time_of(news) {
+/// Merges baseline latencies received from a peer.
+pub(super) fn apply_baselines(state: &GatewayState, messages: &[BaselineMessage]) {
+    for message in messages.iter().take(MAX_BASELINES) {
+        match from_message(message) {
             Ok(time) if time.known.is_credible() => {
                 state.rollouts.lock().apply_baseline_update(time)
             }
-            Ok(time) => log::warn!(time:% = time; "ignored: a usual time that cannot be"),
+            Ok(time) => log::warn!(time:% = time; "ignoring an implausible baseline latency"),
             Err(error) => {
-                log::warn!(error:% = error; "a usual time of no service, route or model ignored");
+                log::warn!(
+                    error:% = error;
+                    "ignoring a baseline latency with an invalid service, route or model name"
+                );
             }
         }
     }
 }
 
-fn news_of(time: BaselineUpdate) -> BaselineMessage {
+fn to_message(time: BaselineUpdate) -> BaselineMessage {
     BaselineMessage {
         service: time.service.to_string(),
         order_version: time.order_version.number,
@@ -50,16 +53,16 @@
     }
 }
 
-fn time_of(news: &BaselineMessage) -> Result<BaselineUpdate, NameError> {
+fn from_message(message: &BaselineMessage) -> Result<BaselineUpdate, NameError> {
     let kind = RequestKind {
-        route: news.route.as_deref().map(str::parse).transpose()?,
-        model: news.model.as_deref().map(str::parse).transpose()?,
-        part: if news.is_pause { LatencyKind::Pause } else { LatencyKind::First },
+        route: message.route.as_deref().map(str::parse).transpose()?,
+        model: message.model.as_deref().map(str::parse).transpose()?,
+        part: if message.is_pause { LatencyKind::Pause } else { LatencyKind::First },
     };
     Ok(BaselineUpdate {
-        service: news.service.parse()?,
-        order_version: StoreVersion::of(news.order_version),
+        service: message.service.parse()?,
+        order_version: StoreVersion::of(message.order_version),
         kind,
-        known: BaselineLatency { load: news.load, usual_ms: news.usual_ms },
+        known: BaselineLatency { load: message.load, usual_ms: message.usual_ms },
     })
 }
--- a/crates/gateway/src/peers/cached_row.rs
+++ b/crates/gateway/src/peers/cached_row.rs
@@ -1,5 +1,4 @@
-//! A row of the store as it is kept for other entries, ready to be sent to those that hold an
-//! earlier value of it.
+//! A cached row of the store, ready to be sent as a delta to peers that hold an earlier value.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -13,15 +12,15 @@
 use super::packing::pack;
 use crate::control_store::FeedRow;
 
-/// Earlier values that are kept, and their bytes in all. One that asks is mostly one or two
-/// changes behind; one that is further behind gets the whole value.
+/// Limits on the earlier values that are kept, by count and by total size. A poller is usually one
+/// or two changes behind; one that is further behind receives the whole value.
 const MAX_EARLIER: usize = 8;
 const MAX_EARLIER_BYTES: usize = 8 << 20;
 
-/// The version of the value that a packed one is the difference to; none when it is whole.
+/// Version of the base value of a delta; `None` for a whole value.
 pub(super) type BaseVersion = Option<StoreVersion>;
 
-/// A packed value, made when it is first asked for: ten entries ask for the same one at once.
+/// A packed value, compressed on first use: ten gateways request the same one at once.
 #[derive(Debug, Clone)]
 pub(super) struct LazyPack {
     value: Bytes,
@@ -31,12 +30,12 @@
 }
 
 impl LazyPack {
-    /// The packed value; none when it cannot be packed.
+    /// The packed value, or `None` if packing failed.
     pub(super) fn packed(&self) -> Option<Bytes> {
         let pack = || match pack(&self.value, self.base.as_deref()) {
             Ok(packed) => Some(packed),
             Err(error) => {
-                log::error!(error:% = error; "a value cannot be packed, it is sent as it is");
+                log::error!(error:% = error; "failed to pack a value; sending it unpacked");
                 None
             }
         };
@@ -44,11 +43,11 @@
     }
 }
 
-/// A row, and what it was before.
+/// A row with its earlier values.
 #[derive(Debug)]
 pub(super) struct CachedRow {
     row: FeedRow,
-    /// Earlier values, the newest first.
+    /// Earlier values, newest first.
     earlier: VecDeque<(StoreVersion, Bytes)>,
     packs: HashMap<BaseVersion, LazyPack>,
 }
@@ -62,7 +61,7 @@
         &self.row
     }
 
-    /// The row has changed. What it was is kept if others may hold it.
+    /// Replaces the row. The previous value is kept if peers may hold it.
     pub(super) fn change(&mut self, row: FeedRow, is_earlier_kept: bool) {
         let before = std::mem::replace(&mut self.row, row);
         self.packs.clear();
@@ -82,13 +81,14 @@
         self.earlier.iter().map(|(_, value)| value.len()).sum()
     }
 
-    /// The version that is held, if the value is worth a difference to it.
+    /// The row's version, if its value is large enough to be sent as a delta.
     pub(super) fn held(&self) -> Option<StoreVersion> {
         let value = self.row.value.as_ref()?;
         (value.len() >= MIN_PACKED_BYTES).then_some(self.row.version)
     }
 
-    /// The value, packed for one that holds a version of it; none when it is not packed.
+    /// Packs the value as a delta to the version that the peer holds, or whole if that version is
+    /// not kept. `None` if the value is too small to pack.
     pub(super) fn pack_for(&mut self, held: BaseVersion) -> Option<LazyPack> {
         let value = self.row.value.clone().filter(|value| value.len() >= MIN_PACKED_BYTES)?;
         let base = self.earlier.iter().find(|(version, _)| Some(*version) == held);
--- a/crates/gateway/src/peers/client.rs
+++ b/crates/gateway/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! Connections to the entries that are told something again and again.
+//! Persistent connections to the peers that receive periodic updates.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -12,35 +12,35 @@
 use super::messages::PeerRequest;
 use super::response::PeerResponse;
 
-/// Connections to the entries that are told something again and again.
+/// Persistent connections to the peers that receive periodic updates.
 #[derive(Debug)]
 pub(super) struct PeerClient {
     connections: HashMap<SocketAddr, Connection>,
-    answer_timeout: Duration,
+    response_timeout: Duration,
 }
 
 impl PeerClient {
-    /// Nobody has been told anything yet. An answer may take so long.
-    pub(super) fn new(answer_timeout: Duration) -> Self {
-        Self { connections: HashMap::new(), answer_timeout }
+    /// Creates a client without connections; a response must arrive within `answer_timeout`.
+    pub(super) fn new(response_timeout: Duration) -> Self {
+        Self { connections: HashMap::new(), response_timeout }
     }
 
-    /// Closes all connections.
     pub(super) fn disconnect(&mut self) {
         self.connections.clear();
     }
 
-    /// Tells an entry, and waits for its answer. After a failure the next call connects anew.
+    /// Sends a request to a peer and waits for the response. After a failure the connection is
+    /// dropped, and the next call reconnects.
     ///
     /// # Errors
-    /// Fails when the entry does not answer in time.
-    pub(super) async fn tell(
+    /// Fails when the peer does not respond in time.
+    pub(super) async fn send(
         &mut self,
         addr: SocketAddr,
         request: &PeerRequest,
     ) -> Result<PeerResponse, PeerError> {
         let response =
-            tokio::time::timeout(self.answer_timeout, self.exchange(addr, request)).await;
+            tokio::time::timeout(self.response_timeout, self.exchange(addr, request)).await;
         let response = response.unwrap_or(Err(PeerError::TimedOut));
         if response.is_err() {
             self.connections.remove(&addr);
@@ -57,6 +57,6 @@
             Entry::Occupied(known) => known.into_mut(),
             Entry::Vacant(new) => new.insert(connect(addr).await?),
         };
-        exchange(connection, request, self.answer_timeout).await
+        exchange(connection, request, self.response_timeout).await
     }
 }
--- a/crates/gateway/src/peers/connection.rs
+++ b/crates/gateway/src/peers/connection.rs
@@ -1,4 +1,4 @@
-//! Connections between entries.
+//! Connections between gateways.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,64 +20,64 @@
 use crate::tcp::TcpTimeouts;
 use crate::tcp::set_socket_options;
 
-/// How long a connection to another entry may take to come up.
+/// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long an answer that has begun to come may rest before it is given up. An answer is judged
-/// by its progress, never by the time that it takes in all: one that was given up half way began
-/// anew elsewhere, with as little time, so that a configuration of 0.3 MB never came over links
-/// that carry ten copies of it in three seconds. Packets that are lost are sent again within this time.
+/// Maximum time without progress while a response is being received. A transfer is bounded by its
+/// progress, not by its total time: with a total limit, a transfer cancelled half way restarted at
+/// another peer with as little time, so that a configuration of 0.3 MB never arrived over links
+/// that carry ten copies of it in three seconds. Lost packets are retransmitted within this time.
 const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// When the host at the other end is taken for gone. The one that asks has shorter waits of its
-/// own; this ends what is kept for one that has gone without a word.
+/// Detects that the host at the other end has failed. The requesting side has shorter timeouts of
+/// its own; these release the server's resources of a client that failed without closing.
 const PEER_TCP_TIMEOUTS: TcpTimeouts = TcpTimeouts {
     keepalive_idle: Duration::from_secs(2),
     probes: 3,
     ack_timeout: Duration::from_secs(5),
 };
 
-/// A connection whose messages carry their length.
+/// A connection with length-delimited messages.
 pub(super) type Connection = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Why a connection to another entry ended.
+/// Why a connection to a peer failed.
 #[derive(Debug, Display, thiserror::Error)]
 pub(super) enum PeerError {
-    /// the connection broke: {0}
+    /// the connection failed: {0}
     Broken(#[from] io::Error),
-    /// a message cannot be read: {0}
+    /// a message cannot be decoded: {0}
     Unreadable(#[from] prost::DecodeError),
     /// a value cannot be unpacked: {0}
     Unpackable(io::Error),
-    /// the other end closed the connection
+    /// the peer closed the connection
     Closed,
     /// nothing came in time
     TimedOut,
-    /// the answer was given up after {received_bytes} bytes
+    /// no progress: the response stalled after {received_bytes} bytes
     Stalled {
-        /// What had come of it.
+        /// Bytes of the response received so far.
         received_bytes: usize,
     },
 }
 
-/// Connects to another entry.
+/// Connects to a peer.
 pub(super) async fn connect(addr: SocketAddr) -> Result<Connection, PeerError> {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
     let stream = connecting.await.map_err(|_| PeerError::TimedOut)??;
     framed(stream)
 }
 
-/// Puts messages on a stream.
+/// Wraps a stream in the message codec.
 ///
 /// # Errors
-/// Fails when the connection has ended already.
+/// Fails when the connection has already been closed.
 pub(super) fn framed(stream: TcpStream) -> Result<Connection, PeerError> {
     set_socket_options(&stream, PEER_TCP_TIMEOUTS)?;
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_codec();
     Ok(Framed::new(stream, codec))
 }
 
-/// Sends an answer, as long as the one that asked takes it.
+/// Sends a response, waiting as long as the peer reads it.
 pub(super) async fn send(
     connection: &mut Connection,
     response: &PeerResponse,
@@ -87,7 +87,8 @@
     Ok(sent.map_err(|_| PeerError::TimedOut)??)
 }
 
-/// Asks, and waits for the answer, which begins within this time and comes without long rests.
+/// Sends a request and receives the response, which must start within `start_timeout` and then keep
+/// making progress.
 pub(super) async fn exchange(
     connection: &mut Connection,
     request: &PeerRequest,
@@ -99,7 +100,7 @@
     receiving.await.map_err(|_| PeerError::TimedOut)?
 }
 
-/// Asks an entry once, on a connection of its own.
+/// Sends one request on a new connection.
 pub(super) async fn request_once(
     addr: SocketAddr,
     request: &PeerRequest,
@@ -108,7 +109,7 @@
     exchange(&mut connect(addr).await?, request, start_timeout).await
 }
 
-/// Receives an answer as long as more of it comes.
+/// Receives a response as long as it makes progress.
 async fn receive(
     connection: &mut Connection,
     start_timeout: Duration,
--- a/crates/gateway/src/peers/evidence.rs
+++ b/crates/gateway/src/peers/evidence.rs
@@ -1,9 +1,8 @@
-//! Telling other entries what was seen of a version that is rolled out, and which sessions
-//! stay on the old one.
+//! Exchanges with peers the evidence on a version being rolled out, and the sessions that stay on
+//! the old version.
 //!
-//! An entry that asks another for news tells it with the question. Those that follow the
-//! store tell each other here, so that in a small fleet too one verdict rests on what all
-//! have seen.
+//! A gateway that polls a relay sends its evidence with the poll. The relays exchange theirs here,
+//! so that in a small fleet too one decision rests on the evidence of all gateways.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,20 +15,20 @@
 use crate::sessions::SessionScope;
 use crate::state::GatewayState;
 
-/// How often it is told.
+/// Interval between two updates.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long another entry may take to answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout for a peer's response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What this entry has counted of roll-outs that are under way.
+/// The evidence that this gateway has counted on running rollouts.
 pub(super) fn local_evidence(state: &GatewayState) -> Vec<Evidence> {
-    let own = state.rollouts.lock().own_evidence();
-    own.iter().map(|(service, order, totals)| Evidence::of(service, *order, *totals)).collect()
+    let local = state.rollouts.lock().own_evidence();
+    local.iter().map(|(service, order, totals)| Evidence::of(service, *order, *totals)).collect()
 }
 
-/// The sessions that stay on the old version of a service, though their hash is in the new
-/// one's share. Another entry, at which a session goes on, cannot know it otherwise.
+/// The sessions that stay on the old version of a service although their hash falls into the share
+/// of the new one. Another gateway, to which such a session moves, cannot know it otherwise.
 pub(super) fn pinned_sessions(state: &GatewayState, scope: SessionScope) -> Vec<Session> {
     let now = state.now();
     let canaries = state.rollouts.lock().canaries();
@@ -40,22 +39,25 @@
     kept.map(|kept| Session::of(&kept)).collect()
 }
 
-/// Takes in the sessions that another entry tells of.
+/// Merges sessions received from a peer.
 pub(super) fn apply_sessions(state: &GatewayState, sessions: &[Session]) {
     let now = state.now();
     for session in sessions {
         match session.kept() {
             Ok(kept) => state.sessions.lock().apply_peer_update(now, kept),
             Err(error) => {
-                log::warn!(error:% = error; "a session of no service or version ignored");
+                log::warn!(
+                    error:% = error;
+                    "ignoring a session with an invalid service or version name"
+                );
             }
         }
     }
 }
 
-/// Tells the other entries that follow the store, for ever.
+/// Sends the local evidence to the other relays, forever.
 pub(crate) async fn publish_evidence(state: Arc<GatewayState>) {
-    let mut client = PeerClient::new(ANSWER_TIMEOUT);
+    let mut client = PeerClient::new(RESPONSE_TIMEOUT);
     loop {
         tokio::time::sleep(PUBLISH_INTERVAL).await;
         let evidence = local_evidence(&state);
@@ -70,9 +72,11 @@
             PeerRequest { host, evidence, sessions, needs_baselines, ..PeerRequest::default() };
         let relays = state.peers.lock().other_relays();
         for (_, addr) in relays {
-            match client.tell(addr, &request).await {
-                Ok(response) => apply_baselines(&state, &response.times),
-                Err(error) => log::debug!(addr:% = addr, error:% = error; "evidence not told"),
+            match client.send(addr, &request).await {
+                Ok(response) => apply_baselines(&state, &response.baselines),
+                Err(error) => {
+                    log::debug!(addr:% = addr, error:% = error; "failed to send evidence to a peer")
+                }
             }
         }
     }
--- a/crates/gateway/src/peers/feed_cache.rs
+++ b/crates/gateway/src/peers/feed_cache.rs
@@ -1,4 +1,4 @@
-//! What this entry has read of the store, for others that ask.
+//! Caches the feeds that this gateway reads from the store, in order to serve its peers.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -24,24 +24,24 @@
 use crate::control_store::FeedPage;
 use crate::control_store::FeedRow;
 
-/// A copy is good for others while the store has answered within this time. It follows from
-/// the bound on a configuration, 2 s: an entry whose relay is cut off from the store must
-/// learn so and ask the store in less.
+/// A copy may be served while the store has responded within this time. It follows from the bound
+/// of 2 s on applying a configuration: a gateway whose relay is cut off from the store must detect
+/// that and query the store in less.
 const FRESH_FOR: Duration = Duration::from_millis(1_500);
 
-/// The feed whose questions wait for a short time only, so that it shows that the store is reached.
+/// The feed whose follow calls are kept short, so that it shows whether the store is reachable.
 pub(super) const LIVENESS_FEED: Feed = Feed::Operators;
 
-/// How long an entry counts as asked by others after a question.
+/// How long a gateway counts as polled after a poll.
 const POLLED_FOR: Duration = Duration::from_secs(5);
 
-/// Whom the news of a feed came from.
+/// Where the latest data of a feed came from.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Origin {
     /// The platform's store.
     #[default]
     Store,
-    /// Another entry: how old it is there is not known.
+    /// Another gateway, at which the data's age is not known.
     OtherEntry,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl CachedFeed {
-    /// A row is so now.
+    /// Sets the current value of a row.
     fn set(&mut self, row: FeedRow, is_polled: bool) {
         match self.rows.entry(row.key.clone()) {
             Entry::Occupied(known) => known.into_mut().change(row, is_polled),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Those of its rows that fit, as a page.
+    /// A page of the rows that match `fits`.
     fn page(
         &self,
         now: MonoTime,
@@ -85,19 +85,20 @@
 #[derive(Debug, Default)]
 struct FeedCacheState {
     by_feed: HashMap<Feed, CachedFeed>,
-    /// Feeds about whose next change a question waits at the store.
+    /// Feeds whose next change a follow call is waiting for at the store.
     following: HashSet<Feed>,
     asked_at: Option<MonoTime>,
 }
 
 impl FeedCacheState {
-    /// Until when others may take a copy for what the store says; none when they may not at all.
+    /// The time until which a copy may be served in place of the store; `None` if it may not be
+    /// served at all.
     ///
-    /// One feed shows that the store is reached, by its short waits. Where a question about
-    /// another one waits there as long, that one has not changed either: with short waits for each
-    /// feed, three entries made 400 of the 763 calls of a calm day.
+    /// The liveness feed shows, by its short calls, that the store is reachable. Another feed with
+    /// a follow call pending there for as long has not changed either: with short calls for each
+    /// feed, three gateways made 400 of the 763 calls of a fault-free day.
     fn fresh_until(&self, feed: Feed) -> Option<MonoTime> {
-        // The list of entries changes rarely, and nothing is bound to it.
+        // The list of gateways changes rarely and has no freshness bound.
         let fresh_for = if feed == Feed::Entries { Duration::MAX } else { FRESH_FOR };
         let from_store = |feed| self.by_feed.get(&feed).filter(|c| c.origin == Origin::Store);
         let read_at = from_store(feed)?.read_at;
@@ -115,16 +116,17 @@
     }
 }
 
-/// Copies of the feeds that this entry follows at the store.
+/// Copies of the feeds that this gateway follows at the store.
 #[derive(Debug, Default)]
 pub struct FeedCache {
     copies: Mutex<FeedCacheState>,
-    /// All rows of a feed at a version, packed: all entries that start at once ask for the same.
+    /// All rows of a feed at a version, packed, since all gateways that start together request the
+    /// same.
     packed_wholes: Mutex<HashMap<Feed, (StoreVersion, Bytes)>>,
     changed: Notify,
 }
 
-/// A question about the next change of a feed waits at the store.
+/// Marks a feed as having a follow call pending at the store, until it is dropped.
 #[derive(Debug)]
 pub(super) struct PendingFollow<'a> {
     copies: &'a FeedCache,
@@ -138,14 +140,14 @@
 }
 
 impl FeedCache {
-    /// The whole feed was read.
+    /// Stores a whole feed.
     pub fn replace(&self, now: MonoTime, feed: Feed, page: &FeedPage, origin: Origin) {
         let copy = CachedFeed { complete_since: page.version, ..CachedFeed::default() };
         self.copies.lock().by_feed.insert(feed, copy);
         self.extend(now, feed, page, origin);
     }
 
-    /// Changes came. Without the rows before them they are of no use.
+    /// Applies changes. They are dropped if the feed was never read whole.
     pub fn extend(&self, now: MonoTime, feed: Feed, page: &FeedPage, origin: Origin) {
         let mut copies = self.copies.lock();
         let is_polled = copies.is_polled(now);
@@ -163,24 +165,24 @@
         self.changed.notify_waiters();
     }
 
-    /// The store's era that the copy of a feed is of; 0 where there is none.
+    /// The store era of a feed's copy, or 0 without a copy.
     pub(super) fn era(&self, feed: Feed) -> StoreEra {
         let copies = self.copies.lock();
         copies.by_feed.get(&feed).map_or_else(StoreEra::default, |copy| copy.version.era)
     }
 
-    /// Whether there is a copy of a feed, fresh or not.
+    /// Whether a copy of a feed exists, fresh or not.
     pub fn has(&self, feed: Feed) -> bool {
         self.copies.lock().by_feed.contains_key(&feed)
     }
 
-    /// Whether the newest news of a feed came from the store itself.
+    /// Whether the latest data of a feed came from the store itself.
     pub fn is_from_store(&self, feed: Feed) -> bool {
         let copies = self.copies.lock();
         copies.by_feed.get(&feed).is_some_and(|copy| copy.origin == Origin::Store)
     }
 
-    /// A question about the next change of a feed waits at the store from now on, or no longer.
+    /// Records whether a follow call on a feed is pending at the store.
     pub fn set_following(&self, feed: Feed, is_waiting: bool) {
         let mut copies = self.copies.lock();
         if is_waiting {
@@ -190,23 +192,23 @@
         }
     }
 
-    /// The same, until the guard is dropped.
+    /// Marks a follow call on a feed as pending until the guard is dropped.
     pub(super) fn begin_follow(&self, feed: Feed) -> PendingFollow<'_> {
         self.set_following(feed, true);
         PendingFollow { copies: self, feed }
     }
 
-    /// Another entry asks.
+    /// Records a poll by a peer.
     pub fn record_poll(&self, now: MonoTime) {
         self.copies.lock().asked_at = Some(now);
     }
 
-    /// Whether others have asked lately: then the copies must be kept fresh.
+    /// Whether a peer has polled recently, so that the copies must be kept fresh.
     pub fn is_polled(&self, now: MonoTime) -> bool {
         self.copies.lock().is_polled(now)
     }
 
-    /// All rows of a feed, or the changes after a version; none when there is no fresh copy.
+    /// All rows of a feed, or the changes after a version; `None` without a fresh copy.
     ///
     /// # Errors
     /// [`ControlStoreError::HistoryGone`] when changes after that version may be missing.
@@ -232,36 +234,36 @@
         Some(Ok(copy.page(now, version, is_new)))
     }
 
-    /// Until when the copy of a feed is fresh, if nothing more is read; none if there is none.
+    /// The time until which the copy of a feed is fresh if nothing more is read; `None` without a
+    /// copy.
     pub fn fresh_until(&self, feed: Feed) -> Option<MonoTime> {
         self.copies.lock().fresh_until(feed)
     }
 
-    /// All rows of a feed as they were known last, however long ago and from whomever: for an
-    /// entry that starts while the store is away. None when the feed was never read here.
+    /// All rows of a feed as last known, whatever their age and origin, for a gateway that starts
+    /// while the store is unavailable. `None` if the feed was never read.
     pub fn last_known(&self, now: MonoTime, feed: Feed) -> Option<FeedPage> {
         let copies = self.copies.lock();
         let copy = copies.by_feed.get(&feed)?;
         Some(copy.page(now, copy.version, |row| row.value.is_some()))
     }
 
-    /// The rows whose values are so large that a difference to them is worth while, with the
-    /// versions that are held.
+    /// The rows whose values are large enough to be sent as deltas, with the versions held.
     pub(super) fn held(&self, feed: Feed) -> Vec<(String, StoreVersion)> {
         let copies = self.copies.lock();
         let rows = copies.by_feed.get(&feed).into_iter().flat_map(|copy| &copy.rows);
         rows.filter_map(|(key, row)| Some((key.clone(), row.held()?))).collect()
     }
 
-    /// The value of a row at a version, if that is what is held.
+    /// The value of a row, if it is held at this version.
     pub(super) fn value(&self, feed: Feed, key: &str, version: StoreVersion) -> Option<Bytes> {
         let copies = self.copies.lock();
         let row = copies.by_feed.get(&feed)?.rows.get(key)?.row();
         row.value.clone().filter(|_| row.version == version)
     }
 
-    /// A row's value, packed for one that holds a version of it; none when it is not packed, or
-    /// has changed since.
+    /// A row's packed value for a peer that holds version `held` of it; `None` if it is not packed
+    /// or has changed since `version`.
     pub(super) fn pack_for(
         &self,
         feed: Feed,
@@ -274,10 +276,10 @@
         if row.row().version == version { row.pack_for(held) } else { None }
     }
 
-    /// All rows of a feed at a version, as they were packed last, or packed now.
+    /// All rows of a feed at a version: the cached packed form, or `pack()`.
     ///
     /// # Errors
-    /// Fails when the packing does.
+    /// Fails when packing fails.
     pub(super) fn packed_whole(
         &self,
         feed: Feed,
@@ -293,8 +295,8 @@
         Ok(packed)
     }
 
-    /// Waits until a copy changes, or is read again, after this call: to be called before
-    /// the copy is looked at.
+    /// Waits until a copy changes or is read again after this call. Call it before reading the
+    /// copy.
     pub fn changed(&self) -> Notified<'_> {
         self.changed.notified()
     }
--- a/crates/gateway/src/peers/health.rs
+++ b/crates/gateway/src/peers/health.rs
@@ -1,8 +1,8 @@
-//! Telling other entries which upstreams are not well.
+//! Exchanges with peers which upstreams are unhealthy.
 //!
-//! An upstream that turns requests away at once has nothing in progress and is tried by each
-//! entry in turn: with 103 entries and 48 such upstreams, 13 in 100 requests met one of them
-//! first. What one entry has found out, the others need not.
+//! An upstream that rejects requests at once has none in progress, so that each gateway in turn
+//! selects it: with 103 gateways and 48 such upstreams, 13 of 100 requests went to one of them
+//! first. Peers therefore share what one gateway has found out.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,33 +13,33 @@
 use super::messages::HealthMessage;
 use crate::state::GatewayState;
 
-/// The most upstreams that are told or believed at once: 18 bytes each.
+/// Maximum number of upstreams sent or applied at once, of 18 bytes each.
 const MAX_ITEMS: usize = 500;
 
-/// What this entry knows.
+/// The unhealthy upstreams known locally.
 pub(super) fn local_health(state: &GatewayState) -> Vec<HealthMessage> {
-    let standings = state.upstreams.standings(state.now());
-    let message = |(key, told): (UpstreamKey, HealthUpdate)| {
-        let (is_over, left) = match told {
+    let health = state.upstreams.standings(state.now());
+    let to_message = |(key, update): (UpstreamKey, HealthUpdate)| {
+        let (is_over, left) = match update {
             HealthUpdate::Over(left) => (true, left),
             HealthUpdate::Refusing(left) => (false, left),
         };
         let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
         HealthMessage { upstream: key.0, left_ms, is_over }
     };
-    standings.into_iter().take(MAX_ITEMS).map(message).collect()
+    health.into_iter().take(MAX_ITEMS).map(to_message).collect()
 }
 
-/// Takes in what another entry knows.
-pub(super) fn apply_health(state: &GatewayState, told: &[HealthMessage]) {
-    let standing = |news: &HealthMessage| {
-        let left = Duration::from_millis(u64::from(news.left_ms));
-        let told =
-            if news.is_over { HealthUpdate::Over(left) } else { HealthUpdate::Refusing(left) };
-        (UpstreamKey(news.upstream), told)
+/// Merges upstream health received from a peer.
+pub(super) fn apply_health(state: &GatewayState, messages: &[HealthMessage]) {
+    let to_update = |message: &HealthMessage| {
+        let left = Duration::from_millis(u64::from(message.left_ms));
+        let update =
+            if message.is_over { HealthUpdate::Over(left) } else { HealthUpdate::Refusing(left) };
+        (UpstreamKey(message.upstream), update)
     };
-    let told: HashMap<_, _> = told.iter().take(MAX_ITEMS).map(standing).collect();
-    for start in state.upstreams.told_standings(state.now(), &told) {
+    let updates: HashMap<_, _> = messages.iter().take(MAX_ITEMS).map(to_update).collect();
+    for start in state.upstreams.told_standings(state.now(), &updates) {
         state.confirm_termination(&start);
     }
 }
--- a/crates/gateway/src/peers/limits.rs
+++ b/crates/gateway/src/peers/limits.rs
@@ -1,7 +1,7 @@
-//! Telling other entries which limits upstreams have named.
+//! Exchanges with peers the rate limits that upstreams have reported.
 //!
-//! A limit is divided among all entries. One whose part is nothing sends the upstream nothing, so it
-//! learns only from others that the limit has changed or is over.
+//! A limit is divided among all gateways. One whose share is zero sends the upstream nothing, so it
+//! learns only from peers that the limit has changed or was lifted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,43 +19,43 @@
 use super::seeds::seeds;
 use crate::state::GatewayState;
 
-/// The most limits that are told or believed at once: 24 bytes each.
+/// Maximum number of limits sent or applied at once, of 24 bytes each.
 const MAX_ITEMS: usize = 200;
 
-/// How long an entry that starts waits to learn which limits hold: about as long as it waits for the
-/// list of entries. Seeds that are well answer in 10 ms.
+/// How long a starting gateway waits for the current limits: about as long as for the list of
+/// gateways. Healthy seeds respond in 10 ms.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What this entry has learnt lately.
+/// The limits learnt recently.
 pub(super) fn local_limits(state: &GatewayState) -> Vec<LimitMessage> {
     messages(state.upstreams.named_limits(state.now()))
 }
 
-/// All limits that hold, for an entry that starts: an upstream with nothing to do is its best choice
-/// until it has heard of the limit.
+/// All current limits, for a gateway that starts: it prefers an idle upstream until it knows that
+/// upstream's limit.
 pub(super) fn all_limits(state: &GatewayState) -> Vec<LimitMessage> {
     messages(state.upstreams.all_named_limits(state.now()))
 }
 
 fn messages(limits: Vec<(UpstreamKey, LimitUpdate)>) -> Vec<LimitMessage> {
-    let message = |(key, told): (UpstreamKey, LimitUpdate)| LimitMessage {
+    let to_message = |(key, update): (UpstreamKey, LimitUpdate)| LimitMessage {
         upstream: key.0,
-        per_s: told.limit.map(RequestRate::per_s),
-        age_ms: u32::try_from(told.age.as_millis()).unwrap_or(u32::MAX),
+        per_s: update.limit.map(RequestRate::per_s),
+        age_ms: u32::try_from(update.age.as_millis()).unwrap_or(u32::MAX),
     };
-    limits.into_iter().take(MAX_ITEMS).map(message).collect()
+    limits.into_iter().take(MAX_ITEMS).map(to_message).collect()
 }
 
-/// Asks the seeds which limits hold, before this entry serves.
+/// Fetches the current limits from the seeds before this gateway serves.
 ///
-/// An upstream with nothing to do is the best choice of an entry that does not know its limit: of 30
-/// requests in its first moment 10 went to one that took one.
+/// A gateway that does not know an idle upstream's limit prefers that upstream: of the first 30
+/// requests, 10 went to one that accepted one.
 pub(crate) async fn fetch_startup_limits(state: Arc<GatewayState>) {
-    let own = state.settings.peers_addr.parse().ok();
-    let others = seeds(&state.settings).filter(|seed| Some(*seed) != own);
-    let asked = others.map(|seed| request_from_seed(&state, seed));
-    if timeout(FETCH_TIMEOUT, join_all(asked)).await.is_err() {
-        log::info!("not all seeds have told which limits hold");
+    let local = state.settings.peers_addr.parse().ok();
+    let others = seeds(&state.settings).filter(|seed| Some(*seed) != local);
+    let requests = others.map(|seed| request_from_seed(&state, seed));
+    if timeout(FETCH_TIMEOUT, join_all(requests)).await.is_err() {
+        log::info!("not all seeds responded with the current limits in time");
     }
     state.set_has_limits();
 }
@@ -64,24 +64,34 @@
     let request = PeerRequest { is_starting: true, ..PeerRequest::default() };
     match request_once(addr, &request, FETCH_TIMEOUT).await {
         Ok(response) => apply_limits(state, &response.limits),
-        Err(error) => log::debug!(addr:% = addr, error:% = error; "a seed did not answer"),
+        Err(error) => log::debug!(addr:% = addr, error:% = error; "a seed did not respond"),
     }
 }
 
-/// Takes in what another entry knows.
-pub(super) fn apply_limits(state: &GatewayState, told: &[LimitMessage]) {
-    for news in told.iter().take(MAX_ITEMS) {
-        match news.per_s.map(RequestRate::from_per_s).transpose() {
+/// Merges limits received from a peer.
+pub(super) fn apply_limits(state: &GatewayState, messages: &[LimitMessage]) {
+    for message in messages.iter().take(MAX_ITEMS) {
+        match message.per_s.map(RequestRate::from_per_s).transpose() {
             Ok(limit) => {
-                let age = Duration::from_millis(u64::from(news.age_ms));
-                let told = LimitUpdate { limit, age };
-                let upstream = UpstreamKey(news.upstream);
-                let is_other = state.upstreams.told_limit(state.now(), upstream, told);
-                if is_other && state.decisions.admits(state.now()) {
-                    log::info!(upstream = upstream.0, limit:? = limit; "told of an upstream's limit");
+                let age = Duration::from_millis(u64::from(message.age_ms));
+                let update = LimitUpdate { limit, age };
+                let upstream = UpstreamKey(message.upstream);
+                let has_changed = state.upstreams.told_limit(state.now(), upstream, update);
+                if has_changed && state.decisions.admits(state.now()) {
+                    log::info!(
+                        upstream = upstream.0,
+                        limit:? = limit;
+                        "told of an upstream's limit"
+                    );
                 }
             }
-            Err(error) => log::warn!(per_s:? = news.per_s, error:% = error; "a limit ignored"),
+            Err(error) => {
+                log::warn!(
+                    per_s:? = message.per_s,
+                    error:% = error;
+                    "ignoring an invalid rate limit"
+                );
+            }
         }
     }
 }
--- a/crates/gateway/src/peers/messages.rs
+++ b/crates/gateway/src/peers/messages.rs
@@ -1,4 +1,4 @@
-//! What entries say to each other, as protocol buffers.
+//! Protocol buffers exchanged between gateways.
 
 use std::time::Duration;
 
@@ -13,128 +13,126 @@
 use crate::sessions::PinnedSession;
 use crate::sessions::SessionKey;
 
-/// The largest message: a whole configuration of many routes fits in.
+/// Maximum message size; a configuration with many routes fits.
 pub(super) const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
-/// Asks for a feed.
+/// A request to a peer: polls a feed, or exchanges updates.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct PeerRequest {
-    /// The number of the feed, see [`feed_number`]; 0 asks for none.
+    /// Number of the feed, see [`feed_number`]; 0 requests none.
     #[prost(uint32, tag = "1")]
     pub(super) feed: u32,
-    /// The version after which changes are wanted; absent for the whole feed.
+    /// Version after which changes are requested; absent for the whole feed.
     #[prost(uint64, optional, tag = "2")]
     pub(super) after: Option<u64>,
     /// How long to wait for changes.
     #[prost(uint64, tag = "3")]
     pub(super) wait_ms: u64,
-    /// The host that asks.
+    /// Host that sends the request.
     #[prost(string, tag = "4")]
     pub(super) host: String,
-    /// What it has seen of versions that are rolled out, in all so far.
+    /// Its evidence on running rollouts, cumulative.
     #[prost(message, repeated, tag = "5")]
     pub(super) evidence: Vec<Evidence>,
     /// Sessions that stay on the old version of a service.
     #[prost(message, repeated, tag = "6")]
     pub(super) sessions: Vec<Session>,
-    /// Whether the feed is wanted however old it is.
+    /// Whether a stale copy of the feed is acceptable.
     #[prost(bool, tag = "7")]
     pub(super) accepts_stale: bool,
-    /// The work that it, and the entries that tell it theirs, have in progress.
+    /// Work in progress at the sender and at the gateways that report to it.
     #[prost(message, optional, tag = "8")]
     pub(super) work: Option<WorkMessage>,
-    /// What it knows of the ends of roll-outs.
+    /// Rollout decisions known to the sender.
     #[prost(message, repeated, tag = "9")]
-    pub(super) verdicts: Vec<DecisionMessage>,
-    /// Whether it wants the usual times of versions that are in force.
+    pub(super) rollout_decisions: Vec<DecisionMessage>,
+    /// Whether the baseline latencies of active versions are requested.
     #[prost(bool, tag = "10")]
     pub(super) needs_baselines: bool,
-    /// Whether it understands packed values.
+    /// Whether the sender accepts packed values.
     #[prost(bool, tag = "11")]
     pub(super) accepts_packed: bool,
-    /// The large rows of the feed that it holds: their values may come as differences.
+    /// Large rows of the feed that the sender holds: their values may be sent as deltas.
     #[prost(message, repeated, tag = "12")]
     pub(super) held: Vec<HeldRow>,
-    /// Upstreams that are not well.
+    /// Unhealthy upstreams.
     #[prost(message, repeated, tag = "13")]
-    pub(super) standings: Vec<HealthMessage>,
-    /// Upstreams that ended while they ran a request.
+    pub(super) health: Vec<HealthMessage>,
+    /// Upstreams that crashed while they ran a request.
     #[prost(message, repeated, tag = "14")]
     pub(super) ends: Vec<CrashMessage>,
-    /// Limits that upstreams have named.
+    /// Rate limits that upstreams have reported.
     #[prost(message, repeated, tag = "15")]
     pub(super) limits: Vec<LimitMessage>,
-    /// Whether it has just started, and wants all limits that hold.
+    /// Whether the sender has just started and requests all current limits.
     #[prost(bool, tag = "16")]
     pub(super) is_starting: bool,
-    /// The store's era by which it knows the feed. One of a former version tells none.
+    /// Store era of the sender's copy of the feed; absent from older releases.
     #[prost(uint64, optional, tag = "17")]
     pub(super) store_era: Option<u64>,
 }
 
-/// What is known of a limit that an upstream has named.
+/// A rate limit that an upstream has reported.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct LimitMessage {
-    /// A hash of the upstream's start.
+    /// Hash of the upstream's incarnation.
     #[prost(fixed64, tag = "1")]
     pub(super) upstream: u64,
-    /// Requests a second that it takes; absent when it names none any more.
+    /// Requests per second that it accepts; absent if it no longer reports a limit.
     #[prost(double, optional, tag = "2")]
     pub(super) per_s: Option<f64>,
-    /// How long ago it was so.
+    /// Age of this information.
     #[prost(uint32, tag = "3")]
     pub(super) age_ms: u32,
 }
 
-/// An upstream ended while it ran a request.
+/// An upstream crashed while it ran a request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct CrashMessage {
     /// The request's fingerprint.
     #[prost(bytes = "vec", tag = "1")]
     pub(super) request: Vec<u8>,
-    /// A hash of the upstream's start.
+    /// Hash of the upstream's incarnation.
     #[prost(fixed64, tag = "2")]
     pub(super) upstream: u64,
-    /// Whether the request has been answered whole since.
+    /// Whether the request has been completed successfully since.
     #[prost(bool, tag = "3")]
     pub(super) is_cleared: bool,
 }
 
-/// A start of an upstream that is not well.
+/// An unhealthy incarnation of an upstream.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct HealthMessage {
-    /// A hash of it.
+    /// Hash of the incarnation.
     #[prost(fixed64, tag = "1")]
     pub(super) upstream: u64,
-    /// For how much longer it is taken to be so.
+    /// Remaining time for which this holds.
     #[prost(uint32, tag = "2")]
     pub(super) left_ms: u32,
-    /// Whether this start of it is over; else it refuses requests.
+    /// Whether the incarnation has terminated; else it rejects requests.
     #[prost(bool, tag = "3")]
     pub(super) is_over: bool,
 }
 
-/// A row that is held by the one that asks.
+/// A row that the sender of a request holds.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct HeldRow {
-    /// Its key.
     #[prost(string, tag = "1")]
     pub(super) key: String,
-    /// The store's version at its last change.
+    /// Store version of its last change.
     #[prost(uint64, tag = "2")]
     pub(super) version: u64,
 }
 
-/// What an entry knows of the end of a roll-out.
+/// A rollout decision.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct DecisionMessage {
-    /// The service.
     #[prost(string, tag = "1")]
     pub(super) service: String,
-    /// The version of the order's row.
+    /// Version of the order's row.
     #[prost(uint64, tag = "2")]
     pub(super) order_version: u64,
-    /// Whether it is completed; else the new version is bad.
+    /// Whether the rollout completed; else the new version is bad.
     #[prost(bool, tag = "3")]
     pub(super) is_completed: bool,
 }
@@ -144,36 +142,36 @@
 pub(super) struct WorkMessage {
     /// The upstreams that have any.
     #[prost(message, repeated, tag = "1")]
-    pub(super) on: Vec<UpstreamWork>,
+    pub(super) upstreams: Vec<UpstreamWork>,
 }
 
-/// Work in progress on one upstream.
+/// Work in progress at one upstream.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct UpstreamWork {
-    /// A hash of the instance's name.
+    /// Hash of the instance's name.
     #[prost(fixed64, tag = "1")]
     pub(super) upstream: u64,
     /// Requests in progress.
     #[prost(uint32, tag = "2")]
     pub(super) requests: u32,
-    /// How long the upstream is expected to read their prompts.
+    /// Expected time for the upstream to read (prefill) their prompts.
     #[prost(uint32, tag = "3")]
     pub(super) reading_ms: u32,
 }
 
-/// A session that stays on the version that answered it.
+/// A session that stays on the version that served it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Session {
-    /// A hash of its name.
+    /// Hash of the session's name.
     #[prost(fixed64, tag = "1")]
     pub(super) key: u64,
-    /// The service that it asks.
+    /// The service that it uses.
     #[prost(string, tag = "2")]
     pub(super) service: String,
     /// The version.
     #[prost(string, tag = "3")]
     pub(super) version: String,
-    /// For how long it has asked nothing.
+    /// Time since its last request.
     #[prost(uint64, tag = "4")]
     pub(super) idle_ms: u64,
 }
@@ -188,10 +186,10 @@
         }
     }
 
-    /// The session that the message tells of.
+    /// Decodes the session.
     ///
     /// # Errors
-    /// Fails when the service or the version has no valid name.
+    /// Fails when the service or version name is invalid.
     pub(super) fn kept(&self) -> Result<PinnedSession, NameError> {
         Ok(PinnedSession {
             key: SessionKey(self.key),
@@ -202,46 +200,45 @@
     }
 }
 
-/// What an entry has seen of a roll-out, in all so far.
+/// A gateway's evidence on a rollout, cumulative.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Evidence {
-    /// The service.
     #[prost(string, tag = "1")]
     pub(super) service: String,
-    /// The version of the order's row: counts of another order are of no use.
+    /// Version of the order's row: counts for another order are ignored.
     #[prost(uint64, tag = "2")]
     pub(super) order_version: u64,
-    /// Answers of the old version.
+    /// Responses of the old version.
     #[prost(uint64, tag = "3")]
     pub(super) old_answers: u64,
     /// Those that failed.
     #[prost(uint64, tag = "4")]
     pub(super) old_failures: u64,
-    /// Answers of the old version whose time to the first part was compared.
+    /// Responses of the old version whose time to first chunk was compared.
     #[prost(uint64, tag = "5")]
     pub(super) old_first_parts: u64,
     /// Those that were slow.
     #[prost(uint64, tag = "6")]
     pub(super) old_slow_first_parts: u64,
-    /// Answers of the new version.
+    /// Responses of the new version.
     #[prost(uint64, tag = "7")]
     pub(super) new_answers: u64,
     /// Those that failed.
     #[prost(uint64, tag = "8")]
     pub(super) new_failures: u64,
-    /// Answers of the new version whose time to the first part was compared.
+    /// Responses of the new version whose time to first chunk was compared.
     #[prost(uint64, tag = "9")]
     pub(super) new_first_parts: u64,
     /// Those that were slow.
     #[prost(uint64, tag = "10")]
     pub(super) new_slow_first_parts: u64,
-    /// Streams of the old version whose pace was compared.
+    /// Streams of the old version whose token interval was compared.
     #[prost(uint64, tag = "11")]
     pub(super) old_paces: u64,
     /// Those that were slow.
     #[prost(uint64, tag = "12")]
     pub(super) old_slow_paces: u64,
-    /// Streams of the new version whose pace was compared.
+    /// Streams of the new version whose token interval was compared.
     #[prost(uint64, tag = "13")]
     pub(super) new_paces: u64,
     /// Those that were slow.
@@ -292,28 +289,26 @@
     }
 }
 
-/// The usual time of a version that is in force, at a load.
+/// Baseline latency of an active version at a load.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct BaselineMessage {
-    /// The service.
     #[prost(string, tag = "1")]
     pub(super) service: String,
-    /// The version of the order's row.
+    /// Version of the order's row.
     #[prost(uint64, tag = "2")]
     pub(super) order_version: u64,
-    /// The route, where it makes a difference.
+    /// The route, where latencies differ by route.
     #[prost(string, optional, tag = "3")]
     pub(super) route: Option<String>,
-    /// The model, if one was asked.
+    /// The model, if one was requested.
     #[prost(string, optional, tag = "4")]
     pub(super) model: Option<String>,
-    /// Whether it is a pause of a stream; else the time to the first part.
+    /// Whether it is a pause between chunks of a stream; else the time to first chunk.
     #[prost(bool, tag = "5")]
     pub(super) is_pause: bool,
-    /// The load.
     #[prost(double, tag = "6")]
     pub(super) load: f64,
-    /// The time, in milliseconds.
+    /// The latency, in milliseconds.
     #[prost(double, tag = "7")]
     pub(super) usual_ms: f64,
 }
@@ -329,7 +324,7 @@
     }
 }
 
-/// The feed of a number.
+/// The feed with this number.
 pub(super) fn feed_of(number: u32) -> Option<Feed> {
     Feed::ALL.into_iter().find(|feed| feed_number(*feed) == number)
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,18 +1,24 @@
-//! News between entries.
+//! Exchange of store data and state between gateways.
 //!
-//! Each call to the platform's store has a price, and all entries need the same news. So in
-//! a large fleet a few entries follow the store and answer the others, which ask them as
-//! they would ask the store. An entry that gets no fresh answer asks the store itself.
+//! Each call to the platform's store is charged, and all gateways need the same data. In a large
+//! fleet a few gateways, the relays, therefore follow the store and serve the others, which poll
+//! them as they would poll the store. A gateway that gets no fresh response queries the store
+//! itself.
 //!
-//! Which entries follow the store comes from the system's own list of entries, in an order that
-//! all compute alike (fast links first, one of each availability zone, then a hash): no election,
-//! and two that disagree only ask the store more often than they need.
+//! The relays are selected from the system's own list of gateways, in an order that all compute
+//! alike (fast links first, one per availability zone, then a hash). There is no election, and
+//! gateways that disagree only make more store calls than necessary.
 //!
-//! News travel packed, large values as differences to what the asker holds; a transfer is judged
-//! by its progress, not by the time that it takes in all.
+//! Data is sent packed, large values as deltas to what the receiver holds. A transfer is bounded by
+//! its progress, not by its total time.
 //!
-//! An entry that starts knows nobody. It asks the seeds of its settings, as if they were relays;
-//! while the store is away they tell what they knew last, which is what they serve by themselves.
+//! A gateway that starts knows no peers. It polls the seeds of its settings as if they were relays;
+//! while the store is unavailable they send the data they last knew, which is also what they serve
+//! with.
+//!
+//! Reading order: `list` and `poll_targets` select peers, `messages` and `response` define the
+//! protocol, `relayed_store` polls, `server` responds from `feed_cache`; `work`, `evidence`,
+//! `health`, `crashes`, `limits` and `rollout_decisions` exchange state.
 
 mod baselines;
 mod cached_row;
--- a/crates/gateway/src/peers/poll_targets.rs
+++ b/crates/gateway/src/peers/poll_targets.rs
@@ -1,4 +1,5 @@
-//! Whom an entry asks for news: the relays, and the seeds of its settings until it knows them.
+//! Selects the gateways to poll: the relays, or the seeds of the settings until the relays are
+//! known.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,22 +10,22 @@
 use super::seeds;
 use crate::state::GatewayState;
 
-/// How long after its start an entry asks the seeds while it knows too few others. By then all
-/// that have started with it have listed themselves; a fleet that is still so small follows the
-/// store itself.
+/// How long after its start a gateway polls the seeds while it knows too few peers. By then all
+/// gateways that started with it have listed themselves; in a fleet that is still so small each
+/// gateway follows the store itself.
 const STARTUP_PERIOD: Duration = Duration::from_secs(10);
 
-/// Whether an entry has started so lately that others may be starting with it.
+/// Whether this gateway started so recently that others may be starting with it.
 pub(super) fn is_starting(state: &GatewayState) -> bool {
     state.now().since(MonoTime::default()) < STARTUP_PERIOD
 }
 
-/// Whom this entry asks, in order; nobody if it follows the store itself.
+/// The gateways to poll, in order; empty if this one follows the store itself.
 ///
-/// When a whole fleet starts nobody knows anybody. With each entry reading everything itself, 103
-/// of them made 1,133 calls in their first two seconds, of 1,827 on a calm day, and 300 with
-/// 3,000 upstreams answered the first caller after 3.5 to 30 s.
-pub(super) fn asked(state: &GatewayState) -> Vec<SocketAddr> {
+/// When a whole fleet starts, no gateway knows any other. Without seeds, 103 gateways made 1,133
+/// store calls in their first two seconds, of 1,827 on a fault-free day, and 300 gateways with
+/// 3,000 upstreams served their first caller after 3.5 to 30 s.
+pub(super) fn poll_targets(state: &GatewayState) -> Vec<SocketAddr> {
     let peers = state.peers.lock();
     if peers.count() > RELAYS {
         return peers.poll_targets().into_iter().map(|(_, addr)| addr).collect();
@@ -34,19 +35,19 @@
     if is_starting(state) { other_seeds(state, rotation_offset) } else { Vec::new() }
 }
 
-/// Whether this entry follows the store itself.
+/// Whether this gateway follows the store itself.
 pub(crate) fn follows_store(state: &GatewayState) -> bool {
-    asked(state).is_empty()
+    poll_targets(state).is_empty()
 }
 
-/// The seeds, beginning with another one at each entry; nobody if this entry is one of them.
+/// The seeds, each gateway starting with a different one; empty if this gateway is a seed.
 fn other_seeds(state: &GatewayState, rotation_offset: usize) -> Vec<SocketAddr> {
     let settings = &state.settings;
     if settings.seeds.contains(&settings.peers_addr) {
         return Vec::new();
     }
     let mut seeds: Vec<_> = seeds::seeds(settings).collect();
-    let begin = rotation_offset % seeds.len().max(1);
-    seeds.rotate_left(begin);
+    let offset = rotation_offset % seeds.len().max(1);
+    seeds.rotate_left(offset);
     seeds
 }
--- a/crates/gateway/src/peers/relayed_store.rs
+++ b/crates/gateway/src/peers/relayed_store.rs
@@ -1,5 +1,5 @@
-//! The store as an entry of a large fleet sees it: through another entry where that
-//! answers, else directly.
+//! The control store as a gateway of a large fleet uses it: through a peer that has fresh data,
+//! else directly.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -29,9 +29,9 @@
 use super::messages::HeldRow;
 use super::messages::PeerRequest;
 use super::messages::feed_number;
-use super::poll_targets::asked;
 use super::poll_targets::follows_store;
 use super::poll_targets::is_starting;
+use super::poll_targets::poll_targets;
 use super::response::PeerResponse;
 use super::route::Route;
 use super::seeds::request_from_seeds;
@@ -47,66 +47,65 @@
 use crate::sessions::SessionScope;
 use crate::state::GatewayState;
 
-/// How long another entry may take to begin its answer, beyond the wait it was asked for.
-const ANSWER_SLACK: Duration = Duration::from_millis(400);
+/// Time for a peer to start its response, beyond the requested wait.
+const RESPONSE_SLACK: Duration = Duration::from_millis(400);
 
-/// How long a question waits for news: soon enough to notice an entry that is gone.
+/// How long a poll waits for changes: short enough to detect a peer that is gone.
 const PEER_WAIT: Duration = Duration::from_millis(1_000);
 
-/// The same while a version is rolled out: each question carries what was seen of it.
+/// The same during a rollout: each poll carries evidence.
 const ROLLOUT_WAIT: Duration = Duration::from_millis(500);
 
-/// The same for the list of entries, to which no bound applies.
+/// The same for the list of gateways, which has no freshness bound.
 const ENTRIES_WAIT: Duration = Duration::from_secs(8);
 
-/// The longest of these waits while a fleet starts: an entry learns only between two questions that
-/// it is one of those that follow the store, and others wait for its news.
+/// Maximum of these waits while a fleet starts: a gateway notices only between two polls that it
+/// has become a relay, and others wait for its data.
 const START_WAIT: Duration = Duration::from_millis(400);
 
-/// How long the store is asked to wait for news by the first call after others told them, who
-/// may have lost it: a store that is silent would be waited for until the call's own time-out,
-/// and its return be noticed too late.
+/// Wait requested by the first direct store call after data came from peers, which may have lost
+/// the store. With a longer one, a silent store would be waited for until the call times out, and
+/// its recovery noticed too late.
 const FIRST_DIRECT_WAIT: Duration = Duration::from_millis(50);
 
-/// A store that has not answered within this time is taken to be away at a start. It takes
-/// 4 ms when it is well.
+/// A store that has not responded within this time at startup is taken to be unavailable. It takes
+/// 4 ms when healthy.
 const SEEDS_DELAY: Duration = Duration::from_millis(300);
 
-/// How long the store is asked directly after no other entry could answer.
+/// How long the store is queried directly after no peer had fresh data.
 const DIRECT_FOR: Duration = Duration::from_secs(8);
 
-/// The same for an entry that has just started: those that it asks may have started with it.
+/// The same for a gateway that has just started, whose peers may have started with it.
 const START_DIRECT_FOR: Duration = Duration::from_millis(1_000);
 
-/// How long a question for a whole feed waits for an entry that is about to read it. An entry
-/// that is silent costs one that starts so much of the time in which callers wait for it.
+/// How long a request for a whole feed waits for a peer that is about to read it. A silent peer
+/// delays the startup by this time, during which callers wait.
 const WHOLE_WAIT: Duration = Duration::from_millis(400);
-const WHOLE_ANSWER_SLACK: Duration = Duration::from_millis(200);
+const WHOLE_RESPONSE_SLACK: Duration = Duration::from_millis(200);
 
-/// How long a failure of one feed speaks for the others: it is tried again in less.
+/// How long a failure on the liveness feed counts for the others; it is retried more often.
 const STORE_UNAVAILABLE_FOR: Duration = Duration::from_secs(2);
 
-/// While others ask this entry, it asks the store at least so often, as its copies are of
-/// no use to them when they are older.
+/// Longest follow call while peers poll this gateway, as older copies are of no use to them.
 const FRESH_WAIT: Duration = Duration::from_millis(900);
 
-/// News of so many bytes have a log line of their own: what takes long to come shows there.
+/// Updates of at least this size are logged, so that slow transfers can be traced.
 const LARGE_UPDATE_BYTES: usize = 32 << 10;
 
-/// An answer, unpacked, and the bytes that it took on its way.
+/// An unpacked response with its size on the wire.
 #[derive(Debug)]
 struct ReceivedResponse {
     response: PeerResponse,
     travelled_bytes: usize,
 }
 
-/// The store, through another entry where that answers.
+/// The control store, through a peer that has fresh data.
 #[derive(Debug)]
 pub(crate) struct RelayedStore<S> {
     pub(super) state: Arc<GatewayState>,
     store: Arc<S>,
     pub(super) routes: HashMap<Feed, Mutex<Route>>,
-    /// When the store failed to answer about the feed that proves it, and has not answered since.
+    /// When the store failed on the liveness feed, if it has not responded since.
     store_unavailable_since: parking_lot::Mutex<Option<MonoTime>>,
 }
 
@@ -116,7 +115,7 @@
         Self { state, store, routes, store_unavailable_since: parking_lot::Mutex::default() }
     }
 
-    /// Asks other entries in turn; none when the store is to be asked.
+    /// Requests a feed from the peers in turn; `None` when the store is to be queried.
     pub(super) async fn request_from_peers(
         &self,
         feed: Feed,
@@ -126,11 +125,11 @@
         if self.state.now() < route.direct_until {
             return None;
         }
-        let asked = asked(&self.state);
-        if asked.is_empty() {
+        let targets = poll_targets(&self.state);
+        if targets.is_empty() {
             return None;
         }
-        for addr in asked {
+        for addr in targets {
             if route.is_skipped(self.state.now(), addr) {
                 continue;
             }
@@ -150,7 +149,7 @@
         None
     }
 
-    /// How long a question about a feed waits for news.
+    /// How long a poll of a feed waits for changes.
     fn wait_for(&self, feed: Feed) -> Duration {
         let wait = match feed {
             Feed::Operators | Feed::Members | Feed::FatalRequests => PEER_WAIT,
@@ -160,7 +159,7 @@
         if is_starting(&self.state) { wait.min(START_WAIT) } else { wait }
     }
 
-    /// Reads a whole feed from the store; from a seed, however old, if the store is away.
+    /// Reads a whole feed from the store, or from a seed, however old, if the store is unavailable.
     pub(super) async fn read_store(&self, feed: Feed) -> Result<FeedPage, ControlStoreError> {
         let mut reading = pin!(self.store.read(feed));
         let read = timeout(SEEDS_DELAY, reading.as_mut()).await;
@@ -179,7 +178,7 @@
         Ok(page)
     }
 
-    /// What an entry answers; none when it does not answer or has no fresh copy.
+    /// Requests a feed from one peer; `None` if the peer does not respond or has no fresh copy.
     async fn fresh_page(
         &self,
         route: &mut Route,
@@ -188,7 +187,7 @@
         after: Option<StoreVersion>,
     ) -> Option<Result<FeedPage, ControlStoreError>> {
         match self.request_from_peer(route, addr, feed, after).await {
-            Ok(arrived) if !arrived.response.has_copy => None,
+            Ok(received) if !received.response.has_copy => None,
             Ok(ReceivedResponse { response, travelled_bytes }) => {
                 let page = response.into_page(self.state.feed_cache.era(feed));
                 let bytes = page.as_ref().map_or(0, FeedPage::value_bytes);
@@ -207,7 +206,7 @@
         }
     }
 
-    /// Keeps a copy of what was read: of the whole feed, or of its changes.
+    /// Caches what was read: a whole feed or its changes.
     fn cache_page(&self, feed: Feed, page: &FeedPage, is_whole: bool, origin: Origin) {
         let now = self.state.now();
         if is_whole {
@@ -224,16 +223,16 @@
         feed: Feed,
         after: Option<StoreVersion>,
     ) -> Result<ReceivedResponse, PeerError> {
-        // Taken out while a question is under way: the answer to one that is not waited for any more
-        // must not be taken for that to the next one.
+        // Taken out while a request is in flight: a late response to a cancelled request must not
+        // be taken for the response to the next one.
         let known = route.connection.take().filter(|(connected, _)| *connected == addr);
         let mut connection = match known {
             Some((_, connection)) => connection,
             None => connect(addr).await?,
         };
         let (wait, slack) = match after {
-            Some(_) => (self.wait_for(feed), ANSWER_SLACK),
-            None => (WHOLE_WAIT, WHOLE_ANSWER_SLACK),
+            Some(_) => (self.wait_for(feed), RESPONSE_SLACK),
+            None => (WHOLE_WAIT, WHOLE_RESPONSE_SLACK),
         };
         let request = PeerRequest {
             feed: feed_number(feed),
@@ -250,12 +249,12 @@
         let travelled_bytes = response.encoded_len();
         response.unpack(feed, &self.state.feed_cache).map_err(PeerError::Unpackable)?;
         apply_sessions(&self.state, &response.sessions);
-        apply_baselines(&self.state, &response.times);
+        apply_baselines(&self.state, &response.baselines);
         apply_crashes(&self.state, &response.ends);
         Ok(ReceivedResponse { response, travelled_bytes })
     }
 
-    /// Counts news, and logs them if they are large.
+    /// Counts received data, and logs large updates.
     fn record_received(&self, feed: Feed, origin: Origin, bytes: usize, travelled_bytes: usize) {
         self.state.metrics.record_feed_bytes(origin, travelled_bytes);
         if bytes >= LARGE_UPDATE_BYTES {
@@ -269,37 +268,37 @@
         }
     }
 
-    /// What the store itself has answered. Where it did not answer, other entries are asked again
-    /// at the next try: the store may turn this entry away and serve others. With the store asked
-    /// for 8 s all the same, one that was turned away had a configuration 9 s after the first.
+    /// Records whether the store itself responded. If it did not, the next try polls peers again,
+    /// as the store may reject this gateway and serve others. With the store queried directly for 8
+    /// s regardless, a rejected gateway got a configuration 9 s after the first one.
     async fn record_store_result(
         &self,
         feed: Feed,
         response: Result<FeedPage, ControlStoreError>,
     ) -> Result<FeedPage, ControlStoreError> {
-        let is_away =
+        let is_unavailable =
             matches!(&response, Err(error) if !matches!(error, ControlStoreError::HistoryGone));
         if feed == LIVENESS_FEED {
-            *self.store_unavailable_since.lock() = is_away.then(|| self.state.now());
+            *self.store_unavailable_since.lock() = is_unavailable.then(|| self.state.now());
         }
-        if let Some(route) = self.routes.get(&feed).filter(|_| is_away) {
+        if let Some(route) = self.routes.get(&feed).filter(|_| is_unavailable) {
             route.lock().await.direct_until = MonoTime::default();
         }
         response
     }
 
-    /// Whether the store is not asked about a feed, as it does not answer about another one.
+    /// Whether the store is not queried about a feed because it fails on the liveness feed.
     ///
-    /// While it is away each entry tries it again and again, as it may serve some and turn others
-    /// away. One feed is enough for that; with three, 103 entries made 1,700 calls in 8 s. Those
-    /// that others ask try for each feed.
+    /// While the store is unavailable each gateway keeps retrying, as it may serve some and reject
+    /// others. One feed suffices for that; with three, 103 gateways made 1,700 calls in 8 s. Relays
+    /// retry for each feed.
     fn is_store_unavailable(&self, feed: Feed) -> bool {
         let failed = *self.store_unavailable_since.lock();
         let is_recent = failed.is_some_and(|at| self.state.now().since(at) < STORE_UNAVAILABLE_FOR);
         feed != LIVENESS_FEED && is_recent && !follows_store(&self.state)
     }
 
-    /// Keeps what the store itself has answered.
+    /// Caches a page that the store itself returned.
     fn cache_store_page(&self, feed: Feed, page: &FeedPage, is_whole: bool) {
         let bytes = page.value_bytes();
         self.record_received(feed, Origin::Store, bytes, bytes);
@@ -307,18 +306,18 @@
         self.cache_page(feed, page, is_whole, Origin::Store);
     }
 
-    /// The store's era by which a feed is known.
+    /// The store era by which a feed is known.
     fn era(&self, feed: Feed, after: Option<StoreVersion>) -> StoreEra {
         after.map_or_else(|| self.state.feed_cache.era(feed), |after| after.era)
     }
 
-    /// The large rows that are held of a feed.
+    /// The large rows of a feed that are held.
     fn held(&self, feed: Feed) -> Vec<HeldRow> {
         let held = self.state.feed_cache.held(feed).into_iter();
         held.map(|(key, version)| HeldRow { key, version: version.number }).collect()
     }
 
-    /// What the entry that is asked is told with the question.
+    /// The updates sent along with a poll.
     fn updates_for(&self, feed: Feed) -> PeerRequest {
         if feed != Feed::Rollouts {
             return PeerRequest::default();
@@ -353,12 +352,12 @@
             return response;
         }
         if self.is_store_unavailable(feed) {
-            let cause = "it does not answer about other feeds".to_owned();
+            let cause = "it does not respond on the liveness feed".to_owned();
             return Err(ControlStoreError::NotReached(cause));
         }
         let is_polled = self.state.feed_cache.is_polled(self.state.now());
         if is_polled && !self.state.feed_cache.has(feed) {
-            // Others need this entry's news, and it has only followed changes so far.
+            // Peers need this feed, and only its changes have been followed so far.
             return Err(ControlStoreError::HistoryGone);
         }
         let is_proof = is_polled && feed == LIVENESS_FEED;
--- a/crates/gateway/src/peers/response.rs
+++ b/crates/gateway/src/peers/response.rs
@@ -1,4 +1,4 @@
-//! What an entry that is asked answers, and how its rows travel.
+//! The response to a peer's request, and the encoding of its rows.
 
 use std::io;
 
@@ -26,49 +26,50 @@
 use crate::control_store::FeedPage;
 use crate::control_store::FeedRow;
 
-/// The answer.
+/// The response to a [`PeerRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct PeerResponse {
-    /// Whether there is a fresh copy of the feed here.
+    /// Whether there is a fresh copy of the feed.
     #[prost(bool, tag = "1")]
     pub(super) has_copy: bool,
-    /// Whether changes after the version are no longer known.
+    /// Whether changes after the requested version are no longer available.
     #[prost(bool, tag = "2")]
     pub(super) history_gone: bool,
     /// The rows.
     #[prost(message, repeated, tag = "3")]
     pub(super) rows: Vec<Row>,
-    /// The version to continue from.
+    /// Version to continue from.
     #[prost(uint64, tag = "4")]
     pub(super) version: u64,
     /// The store's clock, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub(super) store_now_ms: u64,
-    /// Sessions that stay on the old version of a service, as far as they are known here.
+    /// Known sessions that stay on the old version of a service.
     #[prost(message, repeated, tag = "6")]
     pub(super) sessions: Vec<Session>,
-    /// The work that all entries but the one that asked have in progress, if it told its own.
+    /// Work in progress at all gateways but the requesting one, if it sent its own.
     #[prost(message, optional, tag = "7")]
     pub(super) work: Option<WorkMessage>,
-    /// What is known here of the ends of roll-outs, in the same case.
+    /// Known rollout decisions, in the same case.
     #[prost(message, repeated, tag = "8")]
-    pub(super) verdicts: Vec<DecisionMessage>,
-    /// The usual times of versions that are in force, if they were wanted.
+    pub(super) rollout_decisions: Vec<DecisionMessage>,
+    /// Baseline latencies of active versions, if requested.
     #[prost(message, repeated, tag = "9")]
-    pub(super) times: Vec<BaselineMessage>,
-    /// The rows, packed together in place of one by one: [`Rows`].
+    pub(super) baselines: Vec<BaselineMessage>,
+    /// The rows, packed together instead of one by one: [`Rows`].
     #[prost(bytes = "bytes", optional, tag = "10")]
     pub(super) packed_rows: Option<Bytes>,
-    /// Upstreams that are not well, if work was told.
+    /// Unhealthy upstreams, if the request carried work.
     #[prost(message, repeated, tag = "11")]
-    pub(super) standings: Vec<HealthMessage>,
-    /// Upstreams that ended while they ran a request, if work was told or the feed was read whole.
+    pub(super) health: Vec<HealthMessage>,
+    /// Upstreams that crashed while they ran a request, if the request carried work or read the
+    /// whole feed.
     #[prost(message, repeated, tag = "12")]
     pub(super) ends: Vec<CrashMessage>,
-    /// Limits that upstreams have named, if no feed was asked for.
+    /// Rate limits that upstreams have reported, if no feed was requested.
     #[prost(message, repeated, tag = "13")]
     pub(super) limits: Vec<LimitMessage>,
-    /// The store's era that the versions are of. An entry of a former version tells none.
+    /// Store era of the versions; absent from older releases.
     #[prost(uint64, optional, tag = "14")]
     pub(super) store_era: Option<u64>,
 }
@@ -76,7 +77,6 @@
 /// Rows of a feed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Rows {
-    /// The rows.
     #[prost(message, repeated, tag = "1")]
     pub(super) rows: Vec<Row>,
 }
@@ -84,13 +84,12 @@
 /// A row of a feed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Row {
-    /// Its key.
     #[prost(string, tag = "1")]
     pub(super) key: String,
-    /// Its value; absent when it was removed or comes packed.
+    /// Its value; absent if it was removed or is packed.
     #[prost(bytes = "bytes", optional, tag = "2")]
     pub(super) value: Option<Bytes>,
-    /// The store's version at its last change.
+    /// Store version of its last change.
     #[prost(uint64, tag = "3")]
     pub(super) version: u64,
     /// Its packed value.
@@ -101,10 +100,10 @@
 /// A packed value.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct PackedValue {
-    /// The value, or its difference to an earlier one.
+    /// The value, or its delta to an earlier one.
     #[prost(bytes = "bytes", tag = "1")]
     pub(super) bytes: Bytes,
-    /// The version of the earlier value; absent when it is whole.
+    /// Version of the base value; absent for a whole value.
     #[prost(uint64, optional, tag = "2")]
     pub(super) base_version: Option<u64>,
 }
@@ -128,15 +127,14 @@
         }
     }
 
-    /// Packs large rows by themselves, as differences to what the one that has asked holds of
-    /// them, and then all rows together: a list of 3,000 upstreams has as many short rows that
-    /// are much alike.
+    /// Packs large rows separately, as deltas to what the requester holds, and then all rows
+    /// together: a list of 3,000 upstreams has as many short rows that are much alike.
     pub(super) fn pack(&mut self, feed: Feed, request: &PeerRequest, feed_cache: &FeedCache) {
         if !request.accepts_packed {
             return;
         }
         let era = self.era(StoreEra::default());
-        // The same number stands for another value in another era.
+        // A version number denotes another value in another era.
         let is_same_era = request.store_era == self.store_era;
         let held: &[HeldRow] = if is_same_era { &request.held } else { &[] };
         for row in &mut self.rows {
@@ -164,16 +162,16 @@
         match packed {
             Ok(packed) => self.packed_rows = Some(packed),
             Err(error) => {
-                log::error!(error:% = error; "rows cannot be packed, they are sent as they are");
+                log::error!(error:% = error; "failed to pack rows; sending them unpacked");
                 self.rows = rows.rows;
             }
         }
     }
 
-    /// Unpacks the values that came packed.
+    /// Unpacks the values.
     ///
     /// # Errors
-    /// Fails when one cannot be unpacked, or is the difference to a value that is not held.
+    /// Fails when a value cannot be unpacked or is a delta to a value that is not held.
     pub(super) fn unpack(&mut self, feed: Feed, feed_cache: &FeedCache) -> io::Result<()> {
         if let Some(packed) = self.packed_rows.take() {
             let rows = Rows::decode(unpack(&packed, None)?);
@@ -186,23 +184,23 @@
             };
             let held = |number| feed_cache.value(feed, &row.key, StoreVersion { era, number });
             let base = packed.base_version.map(|version| {
-                held(version).ok_or_else(|| io::Error::other("its base is not held"))
+                held(version).ok_or_else(|| io::Error::other("the base of a delta is not held"))
             });
             row.value = Some(unpack(&packed.bytes, base.transpose()?.as_deref())?);
         }
         Ok(())
     }
 
-    /// The store's era that the versions are of: one that is not told is the one that is known.
+    /// The store era of the versions, or `known` if the response has none.
     fn era(&self, known: StoreEra) -> StoreEra {
         self.store_era.map_or(known, StoreEra)
     }
 
-    /// The page that the answer carries. An entry of a former version tells no era: it is taken for that
-    /// by which the feed is known.
+    /// The page that the response carries. A response without an era, from an older release,
+    /// belongs to the era `known`.
     ///
     /// # Errors
-    /// [`ControlStoreError::HistoryGone`] when changes after the version are not known.
+    /// [`ControlStoreError::HistoryGone`] when changes after the version are not available.
     pub(super) fn into_page(self, known: StoreEra) -> Result<FeedPage, ControlStoreError> {
         if self.history_gone {
             return Err(ControlStoreError::HistoryGone);
--- a/crates/gateway/src/peers/rollout_decisions.rs
+++ b/crates/gateway/src/peers/rollout_decisions.rs
@@ -1,4 +1,4 @@
-//! Telling other entries how roll-outs end.
+//! Exchanges rollout decisions with peers.
 
 use stallhoist_core::StoreVersion;
 
@@ -7,24 +7,24 @@
 use crate::rollouts::RolloutDecision;
 use crate::state::GatewayState;
 
-/// What this entry knows.
+/// The rollout decisions known locally.
 pub(super) fn local_decisions(state: &GatewayState) -> Vec<DecisionMessage> {
-    let verdicts = state.rollouts.lock().verdicts();
-    let message = |verdict: &RolloutDecision| DecisionMessage {
-        service: verdict.service.to_string(),
-        order_version: verdict.order_version.number,
-        is_completed: verdict.ending == Ending::Completed,
+    let decisions = state.rollouts.lock().verdicts();
+    let to_message = |decision: &RolloutDecision| DecisionMessage {
+        service: decision.service.to_string(),
+        order_version: decision.order_version.number,
+        is_completed: decision.ending == Ending::Completed,
     };
-    verdicts.iter().map(message).collect()
+    decisions.iter().map(to_message).collect()
 }
 
-/// Takes in what another entry knows.
-pub(super) fn apply_decisions(state: &GatewayState, told: &[DecisionMessage]) {
-    for news in told {
-        match news.service.parse() {
+/// Merges rollout decisions received from a peer.
+pub(super) fn apply_decisions(state: &GatewayState, messages: &[DecisionMessage]) {
+    for message in messages {
+        match message.service.parse() {
             Ok(service) => {
-                let order_version = StoreVersion::of(news.order_version);
-                let ending = if news.is_completed { Ending::Completed } else { Ending::Bad };
+                let order_version = StoreVersion::of(message.order_version);
+                let ending = if message.is_completed { Ending::Completed } else { Ending::Bad };
                 state.rollouts.lock().apply_peer_update(&RolloutDecision {
                     service,
                     order_version,
@@ -32,7 +32,11 @@
                 });
             }
             Err(error) => {
-                log::warn!(service = news.service, error:% = error; "verdict on no service ignored");
+                log::warn!(
+                    service = message.service,
+                    error:% = error;
+                    "ignoring a rollout decision with an invalid service name"
+                );
             }
         }
     }
--- a/crates/gateway/src/peers/seeds.rs
+++ b/crates/gateway/src/peers/seeds.rs
@@ -1,4 +1,5 @@
-//! Asking the seeds of the settings, for an entry that starts while the store is away.
+//! Requests feeds from the seeds of the settings, for a gateway that starts while the store is
+//! unavailable.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,15 +18,15 @@
 use crate::control_store::FeedPage;
 use crate::state::GatewayState;
 
-/// How long a seed may take to begin its answer.
+/// Timeout for a seed to start its response.
 const RESPONSE_START_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The seeds of the settings, as far as they are addresses.
+/// The seeds of the settings that are valid addresses.
 pub(super) fn seeds(settings: &GatewaySettings) -> impl Iterator<Item = SocketAddr> {
     settings.seeds.iter().filter_map(|seed| seed.parse().ok())
 }
 
-/// What the seeds knew last of a feed that was never read here; none when no seed knows.
+/// What the seeds last knew of a feed that was never read here; `None` if no seed has it.
 pub(super) async fn request_from_seeds(state: &GatewayState, feed: Feed) -> Option<FeedPage> {
     if state.feed_cache.has(feed) {
         return None;
@@ -37,9 +38,9 @@
                 state.news_from.lock().insert(feed, Some(addr));
                 return response.into_page(StoreEra::default()).ok();
             }
-            Ok(_) => log::debug!(feed:? = feed, addr:% = addr; "a seed knows nothing either"),
+            Ok(_) => log::debug!(feed:? = feed, addr:% = addr; "the seed has no copy of the feed"),
             Err(error) => {
-                log::debug!(addr:% = addr, error:% = error; "a seed did not answer");
+                log::debug!(addr:% = addr, error:% = error; "a seed did not respond");
             }
         }
     }
--- a/crates/gateway/src/peers/server.rs
+++ b/crates/gateway/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! Answering other entries.
+//! Serves requests of peers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -44,19 +44,20 @@
 use crate::sessions::SessionScope;
 use crate::state::GatewayState;
 
-/// The longest that a question may wait for changes.
+/// Maximum wait for changes that a request may ask for.
 const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// A connection on which nothing is asked for so long is closed.
+/// Idle connections are closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A copy is looked at again this much after its end: at its very end it is still fresh.
+/// Delay after the end of a copy's freshness before it is checked again: at the exact end it still
+/// counts as fresh.
 const FRESHNESS_SLACK: Duration = Duration::from_millis(5);
 
-/// After a failed accept, for want of descriptors mostly, the next waits this long.
+/// Pause after a failed accept, mostly for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers other entries.
+/// Serves requests of peers.
 #[derive(Debug)]
 pub(crate) struct PeerServer {
     addr: SocketAddr,
@@ -76,13 +77,13 @@
         Ok(Self { addr, _accepting: accepting })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub(crate) fn addr(&self) -> SocketAddr {
         self.addr
     }
 }
 
-/// Accepts connections for ever. When this is dropped, all of them are closed.
+/// Accepts connections forever. All of them are closed when the task is dropped.
 async fn accept(listener: TcpListener, state: Arc<GatewayState>) {
     let mut connections = JoinSet::new();
     loop {
@@ -91,12 +92,12 @@
                 let state = Arc::clone(&state);
                 connections.spawn(async move {
                     if let Err(error) = serve(state, stream).await {
-                        log::debug!(peer:% = peer, error:% = error; "an entry's connection ended");
+                        log::debug!(peer:% = peer, error:% = error; "connection to a peer failed");
                     }
                 });
             }
             Err(error) => {
-                log::warn!(error:% = error; "an entry's connection was not accepted");
+                log::warn!(error:% = error; "failed to accept a connection of a peer");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -122,22 +123,22 @@
         apply_evidence(state, &request.host, evidence);
     }
     apply_sessions(state, &request.sessions);
-    apply_decisions(state, &request.verdicts);
-    apply_health(state, &request.standings);
+    apply_decisions(state, &request.rollout_decisions);
+    apply_health(state, &request.health);
     apply_crashes(state, &request.ends);
     apply_limits(state, &request.limits);
     let work = exchange_work(state, &request);
-    let times = local_baselines(state, request.needs_baselines);
-    // What is told here asks for no feed.
+    let baselines = local_baselines(state, request.needs_baselines);
+    // A request without a feed only exchanges state.
     let Some(feed) = feed_of(request.feed) else {
-        let (verdicts, standings) = (local_decisions(state), local_health(state));
+        let (rollout_decisions, health) = (local_decisions(state), local_health(state));
         let ends = local_crashes(state);
         let limits = if request.is_starting { all_limits(state) } else { local_limits(state) };
         return PeerResponse {
             work,
-            verdicts,
-            standings,
-            times,
+            rollout_decisions,
+            health,
+            baselines,
             ends,
             limits,
             ..PeerResponse::default()
@@ -158,9 +159,11 @@
     let mut response = page(state, feed, after, until).await;
     response.pack(feed, &request, &state.feed_cache);
     match feed {
-        Feed::Rollouts => {
-            PeerResponse { sessions: pinned_sessions(state, SessionScope::All), times, ..response }
-        }
+        Feed::Rollouts => PeerResponse {
+            sessions: pinned_sessions(state, SessionScope::All),
+            baselines,
+            ..response
+        },
         Feed::FatalRequests if request.after.is_none() => {
             PeerResponse { ends: all_crashes(state), ..response }
         }
@@ -168,13 +171,13 @@
     }
 }
 
-/// The store's era by which the one that asks knows a feed. One of a former version tells none, and is
-/// taken to know the same as this entry.
+/// The store era by which the requester knows a feed. A request without one, from an older release,
+/// is taken to know the local era.
 fn requested_era(state: &GatewayState, feed: Feed, request: &PeerRequest) -> StoreEra {
     request.store_era.map_or_else(|| state.feed_cache.era(feed), StoreEra)
 }
 
-/// Waits until there is something to say.
+/// Waits until the feed has changes, its copy is stale, or `until` has passed.
 async fn page(
     state: &GatewayState,
     feed: Feed,
@@ -195,7 +198,7 @@
                 };
             }
             Some(Err(error)) => {
-                log::error!(feed:? = feed, error:% = error; "a copy cannot be read");
+                log::error!(feed:? = feed, error:% = error; "failed to read the cached feed");
                 return PeerResponse::default();
             }
             Some(Ok(page)) if !page.rows.is_empty() || after.is_none() || now >= until => {
@@ -203,8 +206,8 @@
             }
             Some(Ok(_)) => {}
         }
-        // When the copy is no longer fresh, the one that asks is told so at once: it would
-        // learn of a change a whole wait too late otherwise.
+        // The requester learns at once that the copy is stale; otherwise it would notice a change a
+        // whole wait too late.
         let fresh_until =
             state.feed_cache.fresh_until(feed).filter(|fresh_until| now <= *fresh_until);
         let wait = fresh_until.map_or(until, |fresh_until| until.min(fresh_until)).since(now);
@@ -213,14 +216,13 @@
     }
 }
 
-/// Whether a copy that is not fresh is about to be.
+/// Whether a missing or stale copy is about to be refreshed.
 ///
-/// The records of roll-outs are followed only once there is an order, which those that ask learn
-/// from here, some milliseconds later. With "no fresh copy" for an answer, 12 of 21 entries asked
-/// the store for the first 8 s of each roll-out, and told nobody meanwhile which sessions stay
-/// and what they had counted. And an entry that follows the store and has just started reads
-/// everything, or takes the place of a seed: when all start together, those that ask it would ask
-/// the store instead.
+/// Rollout records are followed only once there is an order, which the pollers also learn from this
+/// gateway, some milliseconds later. When they were told that there is no fresh copy, 12 of 21
+/// gateways queried the store for the first 8 s of each rollout, and meanwhile sent no peer their
+/// sessions and evidence. A relay that has just started reads everything, or serves as a seed: when
+/// the fleet starts together, its pollers would query the store instead.
 fn is_being_read(state: &GatewayState, feed: Feed, now: MonoTime) -> bool {
     let is_fresh = |feed| state.feed_cache.fresh_until(feed).is_some_and(|until| now <= until);
     let will_follow_store = !state.feed_cache.is_from_store(feed) && follows_store(state);
@@ -228,17 +230,21 @@
     will_follow_store || (is_expected && is_fresh(Feed::Operators))
 }
 
-/// Takes in the work that an entry tells, and gives that of the others.
+/// Merges the work that a peer sent, and returns that of the other gateways.
 fn exchange_work(state: &GatewayState, request: &PeerRequest) -> Option<WorkMessage> {
-    let news = request.work.as_ref()?;
+    let work = request.work.as_ref()?;
     match request.host.parse::<HostId>() {
         Ok(host) => {
             let response = fleet_work_for(state, &host);
-            apply_work(state, host, Some(news));
+            apply_work(state, host, Some(work));
             response
         }
         Err(error) => {
-            log::warn!(host = request.host, error:% = error; "work of no host ignored");
+            log::warn!(
+                host = request.host,
+                error:% = error;
+                "ignoring work in progress with an invalid host name"
+            );
             None
         }
     }
@@ -246,7 +252,11 @@
 
 fn apply_evidence(state: &GatewayState, host: &str, evidence: &Evidence) {
     let (Ok(host), Ok(service)) = (host.parse(), evidence.service.parse()) else {
-        log::warn!(host, service = evidence.service; "evidence of no host or service ignored");
+        log::warn!(
+            host,
+            service = evidence.service;
+            "ignoring evidence with an invalid host or service name"
+        );
         return;
     };
     let order = StoreVersion::of(evidence.order_version);
--- a/crates/gateway/src/peers/starting.rs
+++ b/crates/gateway/src/peers/starting.rs
@@ -1,7 +1,7 @@
-//! What an entry does that has just started, perhaps with all others.
+//! Reads feeds at startup, perhaps of the whole fleet at once.
 //!
-//! It asks other entries first, the store as well when they do not answer at once, and the list of
-//! entries before anything else.
+//! Peers are polled first, the store as well when they do not respond at once, and the list of
+//! gateways before any other feed.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -9,30 +9,30 @@
 use stallhoist_core::MonoTime;
 use tokio::time::timeout;
 
-use super::poll_targets::asked;
 use super::poll_targets::is_starting;
+use super::poll_targets::poll_targets;
 use super::relayed_store::RelayedStore;
 use crate::control_store::ControlStore;
 use crate::control_store::ControlStoreError;
 use crate::control_store::Feed;
 use crate::control_store::FeedPage;
 
-/// How long an entry that starts tries to reach those that may be starting too, and how often.
+/// How long, and how often, a starting gateway retries peers that may be starting too.
 const START_RETRY_TIME: Duration = Duration::from_millis(400);
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An entry that starts asks the store as well when others have not answered by then; those that are
-/// well answer in 10 to 30 ms. After a loss of power the hosts of those that it asks may not be up
-/// yet, and say nothing: it waited for 0.25 to 0.8 s, and callers with it.
+/// Delay after which a starting gateway also queries the store; healthy peers respond in 10 to 30
+/// ms. After a power loss the hosts of its peers may still be down and silent, which delayed the
+/// gateway, and its callers, by 0.25 to 0.8 s.
 const HEDGE_DELAY: Duration = Duration::from_millis(60);
 
-/// How long an entry that starts waits to learn who the other entries are before it asks for
-/// anything else: the seeds' links may be slow, the relays' are not. It takes 10 ms, or 90 ms where
-/// the store has to be asked.
+/// How long a starting gateway waits for the list of gateways before it requests anything else:
+/// links to the seeds may be slow, those to the relays are not. It takes 10 ms, or 90 ms if the
+/// store has to be queried.
 const ENTRIES_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl<S: ControlStore> RelayedStore<S> {
-    /// Reads a whole feed, from whoever answers first.
+    /// Reads a whole feed from whichever source responds first.
     pub(super) async fn read_at_start(&self, feed: Feed) -> Result<FeedPage, ControlStoreError> {
         self.wait_for_entries(feed).await;
         let mut others = Box::pin(self.request_from_peers_at_start(feed));
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Waits a moment for the list of entries, if this one has just started.
+    /// Waits briefly for the list of gateways.
     async fn wait_for_entries(&self, feed: Feed) {
         if feed == Feed::Entries {
             return;
@@ -74,8 +74,8 @@
         let _ = timeout(ENTRIES_TIMEOUT, listed).await;
     }
 
-    /// Asks other entries for a whole feed, again and again for a moment if this one has just
-    /// started: when a whole fleet starts, those that it asks are not up yet.
+    /// Requests a whole feed from peers, retrying briefly: when the whole fleet starts, they are
+    /// not up yet.
     async fn request_from_peers_at_start(
         &self,
         feed: Feed,
@@ -85,7 +85,7 @@
             let response = self.request_from_peers(feed, None).await;
             let is_over = !is_starting(&self.state)
                 || self.state.now() >= until
-                || asked(&self.state).is_empty();
+                || poll_targets(&self.state).is_empty();
             if response.is_some() || is_over {
                 return response;
             }
