--- a/crates/gateway/src/callers/handler.rs
+++ b/crates/gateway/src/callers/handler.rs
@@ -23,8 +23,8 @@
 use super::rejection::Rejection;
 use super::rejection::given_up;
 use crate::dialect::CallHead;
-use crate::metrics::RequestEnd;
-use crate::planned_stop::Work;
+use crate::metrics::RequestOutcome;
+use crate::planned_stop::ResponseShape;
 use crate::request::AbandonReason;
 use crate::request::Call;
 use crate::request::Execution;
@@ -33,7 +33,7 @@
 use crate::routing::RoutingConfig;
 use crate::routing::Workspace;
 use crate::state::GatewayState;
-use crate::state::InProgress;
+use crate::state::InProgressGuard;
 
 /// The bytes that each header takes besides its name and value: `: ` and the line's end.
 const HEADER_OVERHEAD_BYTES: usize = 4;
@@ -50,12 +50,12 @@
     state: Arc<GatewayState>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let counted = InProgress::count(&state);
+    let counted = InProgressGuard::count(&state);
     let id = state.dialect.call_id(request.headers()).unwrap_or_default().to_owned();
     let mut response = match accept(&state, request).await {
         Ok(call) => execute(&state, call, counted).await,
         Err(rejection) => {
-            state.metrics.request_ended(RequestEnd::Rejected);
+            state.metrics.record_request(RequestOutcome::Rejected);
             if state.decisions.admits(state.now()) {
                 log::info!(request = id, reason:% = rejection; "request rejected");
             }
@@ -71,7 +71,7 @@
 /// Checks a request and reads its body.
 async fn accept(state: &GatewayState, request: Request<Incoming>) -> Result<Call, Rejection> {
     let arrived = state.now();
-    wait_until_informed(state).await?;
+    wait_until_synced(state).await?;
     let config = state.config().ok_or(Rejection::NotInformed)?;
     let (parts, body) = request.into_parts();
     if head_bytes(&parts) > config.bounds.max_header_bytes {
@@ -85,7 +85,7 @@
     let config = state.config().unwrap_or(config);
     let route = Arc::clone(find_route(&config, &parts).ok_or(Rejection::NoRoute)?);
     let workspace = find_workspace(&config, &route, &head)?;
-    if !state.takes(work_of(&route, &head)) {
+    if !state.accepts(work_of(&route, &head)) {
         return Err(Rejection::Stopping);
     }
     let service_name = route.destination(Call::unit(&head)).cloned().ok_or(Rejection::NoRoute)?;
@@ -113,11 +113,11 @@
 
 /// Waits until enough is known to decide about requests. A process that stops may end before
 /// that, and would cut those that wait.
-async fn wait_until_informed(state: &GatewayState) -> Result<(), Rejection> {
-    if !state.is_informed() && state.is_leaving() {
+async fn wait_until_synced(state: &GatewayState) -> Result<(), Rejection> {
+    if !state.is_synced() && state.is_leaving() {
         return Err(Rejection::Stopping);
     }
-    if state.wait_until_informed(WAIT_UNTIL_INFORMED).await {
+    if state.wait_until_synced(WAIT_UNTIL_INFORMED).await {
         return Ok(());
     }
     Err(Rejection::NotInformed)
@@ -157,11 +157,13 @@
 }
 
 /// What is known of how long a request takes.
-fn work_of(route: &Route, head: &CallHead) -> Work {
+fn work_of(route: &Route, head: &CallHead) -> ResponseShape {
     if !route.is_stream {
-        return Work::Call;
+        return ResponseShape::Call;
+    }
+    ResponseShape::Stream {
+        max_tokens: head.prompt.as_ref().map(|prompt| prompt.max_output_tokens),
     }
-    Work::Stream { max_tokens: head.prompt.as_ref().map(|prompt| prompt.max_output_tokens) }
 }
 
 async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Rejection> {
@@ -178,7 +180,7 @@
 async fn execute(
     state: &Arc<GatewayState>,
     call: Call,
-    counted: InProgress,
+    counted: InProgressGuard,
 ) -> Response<AnswerBody> {
     let execution = Execution::new(Arc::clone(state), call);
     let (outcome, execution) = execution.run().await;
@@ -196,21 +198,21 @@
 fn finished(state: &GatewayState, execution: &Execution, outcome: &Outcome) {
     let (end, result) = match outcome {
         Outcome::Whole(reply) if reply.status.is_server_error() => {
-            (RequestEnd::UpstreamFailure, "the upstream's failure is passed on".to_owned())
+            (RequestOutcome::UpstreamFailure, "the upstream's failure is passed on".to_owned())
         }
-        Outcome::Whole(_) | Outcome::Stream(_) => (RequestEnd::Answered, "answered".to_owned()),
+        Outcome::Whole(_) | Outcome::Stream(_) => (RequestOutcome::Answered, "answered".to_owned()),
         Outcome::NoResponse(give_up @ AbandonReason::NotRun { .. }) => {
-            (RequestEnd::NotRun, give_up.to_string())
+            (RequestOutcome::NotRun, give_up.to_string())
         }
         Outcome::NoResponse(give_up @ AbandonReason::HeldBack { .. }) => {
-            (RequestEnd::HeldBack, give_up.to_string())
+            (RequestOutcome::HeldBack, give_up.to_string())
         }
         Outcome::NoResponse(give_up @ AbandonReason::NotAllowed { .. }) => {
-            (RequestEnd::NotAllowed, give_up.to_string())
+            (RequestOutcome::NotAllowed, give_up.to_string())
         }
-        Outcome::NoResponse(give_up) => (RequestEnd::Failed, give_up.to_string()),
+        Outcome::NoResponse(give_up) => (RequestOutcome::Failed, give_up.to_string()),
     };
-    state.metrics.request_ended(end);
+    state.metrics.record_request(end);
     let call = execution.call();
     let now = state.now();
     let elapsed = now.since(call.arrived);
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -15,8 +15,8 @@
 use crate::control_store::ControlStoreError;
 use crate::control_store::Feed;
 use crate::control_store::FeedPage;
-use crate::era_watch::EraOfAnswer;
-use crate::era_watch::EraWatch;
+use crate::era_tracker::EraComparison;
+use crate::era_tracker::EraTracker;
 use crate::log_limit::LogLimit;
 use crate::state::GatewayState;
 
@@ -57,12 +57,12 @@
         store,
         feed,
         is_reached: None,
-        eras: EraWatch::default(),
+        eras: EraTracker::default(),
         unreadable_rows: LogLimit::default(),
     };
     loop {
         let page = follower.read_until_read().await;
-        match follower.eras.unsettled_left(follower.state.now()) {
+        match follower.eras.grace_left(follower.state.now()) {
             Some(left) => follower.take_new_and_follow(page, left).await,
             None => follower.take_and_follow(page).await,
         }
@@ -75,7 +75,7 @@
     feed: Feed,
     /// Whether the last call was answered; none before the first.
     is_reached: Option<bool>,
-    eras: EraWatch,
+    eras: EraTracker,
     unreadable_rows: LogLimit,
 }
 
@@ -99,16 +99,16 @@
 
     /// Whether an answer is taken in, by its era. The store may have come back from a copy.
     fn is_believed(&mut self, version: StoreVersion) -> bool {
-        match self.eras.read(self.state.now(), version) {
-            EraOfAnswer::Known => {}
-            EraOfAnswer::Later(before) => self.came_back(before, version),
-            EraOfAnswer::Back(newest) => self.log_earlier_era(version, newest, false),
-            EraOfAnswer::Late(newest) => {
+        match self.eras.record_read(self.state.now(), version) {
+            EraComparison::Current => {}
+            EraComparison::Advanced(before) => self.came_back(before, version),
+            EraComparison::Reverted(newest) => self.log_earlier_era(version, newest, false),
+            EraComparison::Stale(newest) => {
                 self.log_earlier_era(version, newest, true);
                 return false;
             }
         }
-        self.state.store_is_in(version.era);
+        self.state.observe_store_era(version.era);
         true
     }
 
@@ -132,10 +132,10 @@
         );
         let now = self.state.now();
         match self.feed {
-            Feed::Operators => self.eras.unsettled_for(now, WRITTEN_AGAIN_WITHIN),
-            Feed::Members => self.eras.unsettled_for(now, LISTED_AGAIN_WITHIN),
+            Feed::Operators => self.eras.begin_grace(now, WRITTEN_AGAIN_WITHIN),
+            Feed::Members => self.eras.begin_grace(now, LISTED_AGAIN_WITHIN),
             // It is listed again by what was read if its row is there, else by itself.
-            Feed::Entries => self.state.peers.lock().own_row_is_gone(),
+            Feed::Entries => self.state.peers.lock().remove_local(),
             // What the system writes, nobody writes again but the entries.
             Feed::Rollouts | Feed::FatalRequests => {}
         }
@@ -179,7 +179,7 @@
                     self.reached();
                     failures = pauses();
                     after = page.version;
-                    self.eras.followed(after);
+                    self.eras.record_follow(after);
                     let has_changes = !page.rows.is_empty();
                     self.take_changes(page);
                     if has_changes {
--- a/crates/gateway/src/peers/connection.rs
+++ b/crates/gateway/src/peers/connection.rs
@@ -1,4 +1,4 @@
-//! Connections between entries.
+//! Connections between gateways.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,113 +13,117 @@
 use tokio_util::codec::Framed;
 use tokio_util::codec::LengthDelimitedCodec;
 
-use super::answer::Answer;
-use super::messages::Ask;
 use super::messages::MAX_MESSAGE_BYTES;
-use crate::control_store::LONGEST_TRANSFER;
-use crate::tcp::SilenceLimits;
-use crate::tcp::tune;
+use super::messages::PeerRequest;
+use super::response::PeerResponse;
+use crate::control_store::MAX_TRANSFER_TIME;
+use crate::tcp::TcpTimeouts;
+use crate::tcp::set_socket_options;
 
-/// How long a connection to another entry may take to come up.
+/// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long an answer that has begun to come may rest before it is given up. An answer is judged
-/// by its progress, never by the time that it takes in all: one that was given up half way began
-/// anew elsewhere, with as little time, so that a configuration of 0.3 MB never came over links
-/// that carry ten copies of it in three seconds. Packets that are lost are sent again within this time.
-const LONGEST_REST: Duration = Duration::from_millis(500);
+/// Maximum time without progress while a response is being received. A transfer is bounded by its
+/// progress, not by its total time: with a total limit, a transfer cancelled half way restarted at
+/// another peer with as little time, so that a configuration of 0.3 MB never arrived over links
+/// that carry ten copies of it in three seconds. Lost packets are retransmitted within this time.
+const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// When the host at the other end is taken for gone. The one that asks has shorter waits of its
-/// own; this ends what is kept for one that has gone without a word.
-const PEER_SILENCE: SilenceLimits = SilenceLimits {
-    probe_after: Duration::from_secs(2),
+/// Detects that the host at the other end has failed. The requesting side has shorter timeouts of
+/// its own; these release the server's resources of a client that failed without closing.
+const PEER_TCP_TIMEOUTS: TcpTimeouts = TcpTimeouts {
+    keepalive_idle: Duration::from_secs(2),
     probes: 3,
-    acknowledged_within: Duration::from_secs(5),
+    ack_timeout: Duration::from_secs(5),
 };
 
-/// A connection whose messages carry their length.
+/// A connection with length-delimited messages.
 pub(super) type Connection = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Why a connection to another entry ended.
+/// Why a connection to a peer failed.
 #[derive(Debug, Display, thiserror::Error)]
 pub(super) enum PeerError {
-    /// the connection broke: {0}
+    /// the connection failed: {0}
     Broken(#[from] io::Error),
-    /// a message cannot be read: {0}
+    /// a message cannot be decoded: {0}
     Unreadable(#[from] prost::DecodeError),
     /// a value cannot be unpacked: {0}
     Unpackable(io::Error),
-    /// the other end closed the connection
+    /// the peer closed the connection
     Closed,
     /// nothing came in time
     TimedOut,
-    /// the answer was given up after {received_bytes} bytes
-    GivenUp {
-        /// What had come of it.
+    /// no progress: the response stalled after {received_bytes} bytes
+    Stalled {
+        /// Bytes of the response received so far.
         received_bytes: usize,
     },
 }
 
-/// Connects to another entry.
+/// Connects to a peer.
 pub(super) async fn connect(addr: SocketAddr) -> Result<Connection, PeerError> {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
     let stream = connecting.await.map_err(|_| PeerError::TimedOut)??;
     framed(stream)
 }
 
-/// Puts messages on a stream.
+/// Wraps a stream in the message codec.
 ///
 /// # Errors
-/// Fails when the connection has ended already.
+/// Fails when the connection has already been closed.
 pub(super) fn framed(stream: TcpStream) -> Result<Connection, PeerError> {
-    tune(&stream, PEER_SILENCE)?;
+    set_socket_options(&stream, PEER_TCP_TIMEOUTS)?;
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_codec();
     Ok(Framed::new(stream, codec))
 }
 
-/// Sends an answer, as long as the one that asked takes it.
-pub(super) async fn send(connection: &mut Connection, answer: &Answer) -> Result<(), PeerError> {
-    let sending = connection.send(Bytes::from(answer.encode_to_vec()));
-    let sent = tokio::time::timeout(LONGEST_TRANSFER, sending).await;
+/// Sends a response, waiting as long as the peer reads it.
+pub(super) async fn send(
+    connection: &mut Connection,
+    response: &PeerResponse,
+) -> Result<(), PeerError> {
+    let sending = connection.send(Bytes::from(response.encode_to_vec()));
+    let sent = tokio::time::timeout(MAX_TRANSFER_TIME, sending).await;
     Ok(sent.map_err(|_| PeerError::TimedOut)??)
 }
 
-/// Asks, and waits for the answer, which begins within this time and comes without long rests.
+/// Sends a request and receives the response, which must start within `start_timeout` and then keep
+/// making progress.
 pub(super) async fn exchange(
     connection: &mut Connection,
-    ask: &Ask,
-    begins_within: Duration,
-) -> Result<Answer, PeerError> {
-    let sending = connection.send(Bytes::from(ask.encode_to_vec()));
-    tokio::time::timeout(begins_within, sending).await.map_err(|_| PeerError::TimedOut)??;
-    let receiving = tokio::time::timeout(LONGEST_TRANSFER, receive(connection, begins_within));
+    request: &PeerRequest,
+    start_timeout: Duration,
+) -> Result<PeerResponse, PeerError> {
+    let sending = connection.send(Bytes::from(request.encode_to_vec()));
+    tokio::time::timeout(start_timeout, sending).await.map_err(|_| PeerError::TimedOut)??;
+    let receiving = tokio::time::timeout(MAX_TRANSFER_TIME, receive(connection, start_timeout));
     receiving.await.map_err(|_| PeerError::TimedOut)?
 }
 
-/// Asks an entry once, on a connection of its own.
-pub(super) async fn ask_once(
+/// Sends one request on a new connection.
+pub(super) async fn request_once(
     addr: SocketAddr,
-    ask: &Ask,
-    begins_within: Duration,
-) -> Result<Answer, PeerError> {
-    exchange(&mut connect(addr).await?, ask, begins_within).await
+    request: &PeerRequest,
+    start_timeout: Duration,
+) -> Result<PeerResponse, PeerError> {
+    exchange(&mut connect(addr).await?, request, start_timeout).await
 }
 
-/// Receives an answer as long as more of it comes.
+/// Receives a response as long as it makes progress.
 async fn receive(
     connection: &mut Connection,
-    begins_within: Duration,
-) -> Result<Answer, PeerError> {
+    start_timeout: Duration,
+) -> Result<PeerResponse, PeerError> {
     let mut received_bytes = 0;
-    let mut rest = begins_within;
+    let mut rest = start_timeout;
     loop {
         match tokio::time::timeout(rest, connection.next()).await {
-            Ok(frame) => return Ok(Answer::decode(frame.ok_or(PeerError::Closed)??)?),
+            Ok(frame) => return Ok(PeerResponse::decode(frame.ok_or(PeerError::Closed)??)?),
             Err(_) if connection.read_buffer().len() == received_bytes => {
-                return Err(PeerError::GivenUp { received_bytes });
+                return Err(PeerError::Stalled { received_bytes });
             }
             Err(_) => received_bytes = connection.read_buffer().len(),
         }
-        rest = LONGEST_REST;
+        rest = STALL_TIMEOUT;
     }
 }
--- a/crates/gateway/src/peers/evidence.rs
+++ b/crates/gateway/src/peers/evidence.rs
@@ -1,77 +1,82 @@
-//! Telling other entries what was seen of a version that is rolled out, and which sessions
-//! stay on the old one.
+//! Exchanges with peers the evidence on a version being rolled out, and the sessions that stay on
+//! the old version.
 //!
-//! An entry that asks another for news tells it with the question. Those that follow the
-//! store tell each other here, so that in a small fleet too one verdict rests on what all
-//! have seen.
+//! A gateway that polls a relay sends its evidence with the poll. The relays exchange theirs here,
+//! so that in a small fleet too one decision rests on the evidence of all gateways.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::messages::Ask;
+use super::baselines::apply_baselines;
+use super::client::PeerClient;
 use super::messages::Evidence;
+use super::messages::PeerRequest;
 use super::messages::Session;
-use super::teller::Teller;
-use super::usual_times::take_times;
 use crate::sessions::SessionScope;
 use crate::state::GatewayState;
 
-/// How often it is told.
-const TELL_EVERY: Duration = Duration::from_millis(500);
+/// Interval between two updates.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long another entry may take to answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout for a peer's response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What this entry has counted of roll-outs that are under way.
-pub(super) fn own_evidence(state: &GatewayState) -> Vec<Evidence> {
-    let own = state.rollouts.lock().local_evidence();
-    own.iter().map(|(service, order, totals)| Evidence::of(service, *order, *totals)).collect()
+/// The evidence that this gateway has counted on running rollouts.
+pub(super) fn local_evidence(state: &GatewayState) -> Vec<Evidence> {
+    let local = state.rollouts.lock().local_evidence();
+    local.iter().map(|(service, order, totals)| Evidence::of(service, *order, *totals)).collect()
 }
 
-/// The sessions that stay on the old version of a service, though their hash is in the new
-/// one's share. Another entry, at which a session goes on, cannot know it otherwise.
-pub(super) fn kept_sessions(state: &GatewayState, scope: SessionScope) -> Vec<Session> {
+/// The sessions that stay on the old version of a service although their hash falls into the share
+/// of the new one. Another gateway, to which such a session moves, cannot know it otherwise.
+pub(super) fn pinned_sessions(state: &GatewayState, scope: SessionScope) -> Vec<Session> {
     let now = state.now();
     let canaries = state.rollouts.lock().canaries();
     let sessions = state.sessions.lock();
     let kept = canaries.iter().flat_map(|(service, target, share)| {
-        sessions.kept_from(now, service, target, *share, scope)
+        sessions.pinned_away_from(now, service, target, *share, scope)
     });
     kept.map(|kept| Session::of(&kept)).collect()
 }
 
-/// Takes in the sessions that another entry tells of.
-pub(super) fn take_sessions(state: &GatewayState, sessions: &[Session]) {
+/// Merges sessions received from a peer.
+pub(super) fn apply_sessions(state: &GatewayState, sessions: &[Session]) {
     let now = state.now();
     for session in sessions {
         match session.kept() {
             Ok(kept) => state.sessions.lock().apply_peer_update(now, kept),
             Err(error) => {
-                log::warn!(error:% = error; "a session of no service or version ignored");
+                log::warn!(
+                    error:% = error;
+                    "ignoring a session with an invalid service or version name"
+                );
             }
         }
     }
 }
 
-/// Tells the other entries that follow the store, for ever.
-pub(crate) async fn tell_relays(state: Arc<GatewayState>) {
-    let mut teller = Teller::new(ANSWER_TIMEOUT);
+/// Sends the local evidence to the other relays, forever.
+pub(crate) async fn publish_evidence(state: Arc<GatewayState>) {
+    let mut client = PeerClient::new(RESPONSE_TIMEOUT);
     loop {
-        tokio::time::sleep(TELL_EVERY).await;
-        let evidence = own_evidence(&state);
+        tokio::time::sleep(PUBLISH_INTERVAL).await;
+        let evidence = local_evidence(&state);
         if evidence.is_empty() {
-            teller.disconnect();
+            client.disconnect();
             continue;
         }
         let host = state.settings.host.id.to_string();
-        let sessions = kept_sessions(&state, SessionScope::All);
-        let is_wanting_times = state.rollouts.lock().needs_baselines();
-        let ask = Ask { host, evidence, sessions, is_wanting_times, ..Ask::default() };
+        let sessions = pinned_sessions(&state, SessionScope::All);
+        let needs_baselines = state.rollouts.lock().needs_baselines();
+        let request =
+            PeerRequest { host, evidence, sessions, needs_baselines, ..PeerRequest::default() };
         let relays = state.peers.lock().other_relays();
         for (_, addr) in relays {
-            match teller.tell(addr, &ask).await {
-                Ok(answer) => take_times(&state, &answer.times),
-                Err(error) => log::debug!(addr:% = addr, error:% = error; "evidence not told"),
+            match client.send(addr, &request).await {
+                Ok(response) => apply_baselines(&state, &response.baselines),
+                Err(error) => {
+                    log::debug!(addr:% = addr, error:% = error; "failed to send evidence to a peer")
+                }
             }
         }
     }
--- a/crates/gateway/src/peers/answer.rs
+++ b/crates/gateway/src/peers/response.rs
@@ -1,4 +1,4 @@
-//! What an entry that is asked answers, and how its rows travel.
+//! The response to a peer's request, and the encoding of its rows.
 
 use std::io;
 
@@ -7,18 +7,18 @@
 use stallhoist_core::StoreEra;
 use stallhoist_core::StoreVersion;
 
-use super::feed_copies::FeedCopies;
-use super::messages::Ask;
-use super::messages::EndOf;
+use super::feed_cache::FeedCache;
+use super::messages::BaselineMessage;
+use super::messages::CrashMessage;
+use super::messages::DecisionMessage;
+use super::messages::HealthMessage;
 use super::messages::HeldRow;
-use super::messages::LimitNews;
+use super::messages::LimitMessage;
+use super::messages::PeerRequest;
 use super::messages::Session;
-use super::messages::StandingNews;
-use super::messages::TimeNews;
-use super::messages::VerdictNews;
-use super::messages::WorkNews;
+use super::messages::WorkMessage;
 use super::packing::MAX_VALUE_BYTES;
-use super::packing::PACKED_FROM_BYTES;
+use super::packing::MIN_PACKED_BYTES;
 use super::packing::pack;
 use super::packing::unpack;
 use crate::control_store::ControlStoreError;
@@ -26,49 +26,50 @@
 use crate::control_store::FeedPage;
 use crate::control_store::FeedRow;
 
-/// The answer.
+/// The response to a [`PeerRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct Answer {
-    /// Whether there is a fresh copy of the feed here.
+pub(super) struct PeerResponse {
+    /// Whether there is a fresh copy of the feed.
     #[prost(bool, tag = "1")]
     pub(super) has_copy: bool,
-    /// Whether changes after the version are no longer known.
+    /// Whether changes after the requested version are no longer available.
     #[prost(bool, tag = "2")]
-    pub(super) is_history_gone: bool,
+    pub(super) history_gone: bool,
     /// The rows.
     #[prost(message, repeated, tag = "3")]
     pub(super) rows: Vec<Row>,
-    /// The version to continue from.
+    /// Version to continue from.
     #[prost(uint64, tag = "4")]
     pub(super) version: u64,
     /// The store's clock, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub(super) store_now_ms: u64,
-    /// Sessions that stay on the old version of a service, as far as they are known here.
+    /// Known sessions that stay on the old version of a service.
     #[prost(message, repeated, tag = "6")]
     pub(super) sessions: Vec<Session>,
-    /// The work that all entries but the one that asked have in progress, if it told its own.
+    /// Work in progress at all gateways but the requesting one, if it sent its own.
     #[prost(message, optional, tag = "7")]
-    pub(super) work: Option<WorkNews>,
-    /// What is known here of the ends of roll-outs, in the same case.
+    pub(super) work: Option<WorkMessage>,
+    /// Known rollout decisions, in the same case.
     #[prost(message, repeated, tag = "8")]
-    pub(super) verdicts: Vec<VerdictNews>,
-    /// The usual times of versions that are in force, if they were wanted.
+    pub(super) rollout_decisions: Vec<DecisionMessage>,
+    /// Baseline latencies of active versions, if requested.
     #[prost(message, repeated, tag = "9")]
-    pub(super) times: Vec<TimeNews>,
-    /// The rows, packed together in place of one by one: [`Rows`].
+    pub(super) baselines: Vec<BaselineMessage>,
+    /// The rows, packed together instead of one by one: [`Rows`].
     #[prost(bytes = "bytes", optional, tag = "10")]
     pub(super) packed_rows: Option<Bytes>,
-    /// Upstreams that are not well, if work was told.
+    /// Unhealthy upstreams, if the request carried work.
     #[prost(message, repeated, tag = "11")]
-    pub(super) standings: Vec<StandingNews>,
-    /// Upstreams that ended while they ran a request, if work was told or the feed was read whole.
+    pub(super) health: Vec<HealthMessage>,
+    /// Upstreams that crashed while they ran a request, if the request carried work or read the
+    /// whole feed.
     #[prost(message, repeated, tag = "12")]
-    pub(super) ends: Vec<EndOf>,
-    /// Limits that upstreams have named, if no feed was asked for.
+    pub(super) ends: Vec<CrashMessage>,
+    /// Rate limits that upstreams have reported, if no feed was requested.
     #[prost(message, repeated, tag = "13")]
-    pub(super) limits: Vec<LimitNews>,
-    /// The store's era that the versions are of. An entry of a former version tells none.
+    pub(super) limits: Vec<LimitMessage>,
+    /// Store era of the versions; absent from older releases.
     #[prost(uint64, optional, tag = "14")]
     pub(super) store_era: Option<u64>,
 }
@@ -76,7 +77,6 @@
 /// Rows of a feed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Rows {
-    /// The rows.
     #[prost(message, repeated, tag = "1")]
     pub(super) rows: Vec<Row>,
 }
@@ -84,13 +84,12 @@
 /// A row of a feed.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Row {
-    /// Its key.
     #[prost(string, tag = "1")]
     pub(super) key: String,
-    /// Its value; absent when it was removed or comes packed.
+    /// Its value; absent if it was removed or is packed.
     #[prost(bytes = "bytes", optional, tag = "2")]
     pub(super) value: Option<Bytes>,
-    /// The store's version at its last change.
+    /// Store version of its last change.
     #[prost(uint64, tag = "3")]
     pub(super) version: u64,
     /// Its packed value.
@@ -101,15 +100,15 @@
 /// A packed value.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct PackedValue {
-    /// The value, or its difference to an earlier one.
+    /// The value, or its delta to an earlier one.
     #[prost(bytes = "bytes", tag = "1")]
     pub(super) bytes: Bytes,
-    /// The version of the earlier value; absent when it is whole.
+    /// Version of the base value; absent for a whole value.
     #[prost(uint64, optional, tag = "2")]
     pub(super) base_version: Option<u64>,
 }
 
-impl Answer {
+impl PeerResponse {
     pub(super) fn of(page: FeedPage) -> Self {
         let row = |row: FeedRow| Row {
             key: row.key,
@@ -119,7 +118,7 @@
         };
         Self {
             has_copy: true,
-            is_history_gone: false,
+            history_gone: false,
             rows: page.rows.into_iter().map(row).collect(),
             version: page.version.number,
             store_now_ms: page.store_now_ms,
@@ -128,22 +127,21 @@
         }
     }
 
-    /// Packs large rows by themselves, as differences to what the one that has asked holds of
-    /// them, and then all rows together: a list of 3,000 upstreams has as many short rows that
-    /// are much alike.
-    pub(super) fn pack(&mut self, feed: Feed, ask: &Ask, copies: &FeedCopies) {
-        if !ask.is_unpacking {
+    /// Packs large rows separately, as deltas to what the requester holds, and then all rows
+    /// together: a list of 3,000 upstreams has as many short rows that are much alike.
+    pub(super) fn pack(&mut self, feed: Feed, request: &PeerRequest, feed_cache: &FeedCache) {
+        if !request.accepts_packed {
             return;
         }
         let era = self.era(StoreEra::default());
-        // The same number stands for another value in another era.
-        let is_same_era = ask.store_era == self.store_era;
-        let held: &[HeldRow] = if is_same_era { &ask.held } else { &[] };
+        // A version number denotes another value in another era.
+        let is_same_era = request.store_era == self.store_era;
+        let held: &[HeldRow] = if is_same_era { &request.held } else { &[] };
         for row in &mut self.rows {
             let held = held.iter().find(|held| held.key == row.key);
             let held = held.map(|held| StoreVersion { era, number: held.version });
             let version = StoreVersion { era, number: row.version };
-            let pack = copies.pack_for(feed, &row.key, version, held);
+            let pack = feed_cache.pack_for(feed, &row.key, version, held);
             let Some((pack, bytes)) = pack.and_then(|pack| pack.packed().map(|b| (pack, b))) else {
                 continue;
             };
@@ -152,59 +150,59 @@
             row.value = None;
         }
         let rows_bytes: usize = self.rows.iter().map(Message::encoded_len).sum();
-        if !(PACKED_FROM_BYTES..=MAX_VALUE_BYTES).contains(&rows_bytes) {
+        if !(MIN_PACKED_BYTES..=MAX_VALUE_BYTES).contains(&rows_bytes) {
             return;
         }
         let rows = Rows { rows: std::mem::take(&mut self.rows) };
-        let is_whole = ask.after.is_none() && held.is_empty();
+        let is_whole = request.after.is_none() && held.is_empty();
         let version = StoreVersion { era, number: self.version };
         let pack_rows = || pack(&rows.encode_to_vec(), None);
         let packed =
-            if is_whole { copies.packed_whole(feed, version, pack_rows) } else { pack_rows() };
+            if is_whole { feed_cache.packed_whole(feed, version, pack_rows) } else { pack_rows() };
         match packed {
             Ok(packed) => self.packed_rows = Some(packed),
             Err(error) => {
-                log::error!(error:% = error; "rows cannot be packed, they are sent as they are");
+                log::error!(error:% = error; "failed to pack rows; sending them unpacked");
                 self.rows = rows.rows;
             }
         }
     }
 
-    /// Unpacks the values that came packed.
+    /// Unpacks the values.
     ///
     /// # Errors
-    /// Fails when one cannot be unpacked, or is the difference to a value that is not held.
-    pub(super) fn unpack(&mut self, feed: Feed, copies: &FeedCopies) -> io::Result<()> {
+    /// Fails when a value cannot be unpacked or is a delta to a value that is not held.
+    pub(super) fn unpack(&mut self, feed: Feed, feed_cache: &FeedCache) -> io::Result<()> {
         if let Some(packed) = self.packed_rows.take() {
             let rows = Rows::decode(unpack(&packed, None)?);
             self.rows = rows.map_err(io::Error::other)?.rows;
         }
-        let era = self.era(copies.era(feed));
+        let era = self.era(feed_cache.era(feed));
         for row in &mut self.rows {
             let Some(packed) = row.packed.take() else {
                 continue;
             };
-            let held = |number| copies.value(feed, &row.key, StoreVersion { era, number });
+            let held = |number| feed_cache.value(feed, &row.key, StoreVersion { era, number });
             let base = packed.base_version.map(|version| {
-                held(version).ok_or_else(|| io::Error::other("its base is not held"))
+                held(version).ok_or_else(|| io::Error::other("the base of a delta is not held"))
             });
             row.value = Some(unpack(&packed.bytes, base.transpose()?.as_deref())?);
         }
         Ok(())
     }
 
-    /// The store's era that the versions are of: one that is not told is the one that is known.
+    /// The store era of the versions, or `known` if the response has none.
     fn era(&self, known: StoreEra) -> StoreEra {
         self.store_era.map_or(known, StoreEra)
     }
 
-    /// The page that the answer carries. An entry of a former version tells no era: it is taken for that
-    /// by which the feed is known.
+    /// The page that the response carries. A response without an era, from an older release,
+    /// belongs to the era `known`.
     ///
     /// # Errors
-    /// [`ControlStoreError::HistoryGone`] when changes after the version are not known.
+    /// [`ControlStoreError::HistoryGone`] when changes after the version are not available.
     pub(super) fn into_page(self, known: StoreEra) -> Result<FeedPage, ControlStoreError> {
-        if self.is_history_gone {
+        if self.history_gone {
             return Err(ControlStoreError::HistoryGone);
         }
         let era = self.era(known);
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -24,9 +24,9 @@
 use crate::operators;
 use crate::peers::PeerServer;
 use crate::peers::RelayedStore;
-use crate::peers::learn_limits;
-use crate::peers::tell_relays;
-use crate::peers::tell_work;
+use crate::peers::fetch_startup_limits;
+use crate::peers::publish_evidence;
+use crate::peers::publish_work;
 use crate::rollouts;
 use crate::state::GatewayState;
 
@@ -239,12 +239,12 @@
         tasks.spawn(follow(Arc::clone(state), Arc::clone(store), feed));
     }
     tasks.spawn(serve_without_fatal_requests(Arc::clone(state)));
-    tasks.spawn(learn_limits(Arc::clone(state)));
+    tasks.spawn(fetch_startup_limits(Arc::clone(state)));
     tasks.spawn(fatal::store_fatal_requests(Arc::clone(state), Arc::clone(store)));
     tasks.spawn(rollouts::store_due_steps(Arc::clone(state), Arc::clone(store)));
     tasks.spawn(rollouts::watch(Arc::clone(state)));
-    tasks.spawn(tell_relays(Arc::clone(state)));
-    tasks.spawn(tell_work(Arc::clone(state)));
+    tasks.spawn(publish_evidence(Arc::clone(state)));
+    tasks.spawn(publish_work(Arc::clone(state)));
     tasks.spawn(expire(Arc::clone(state)));
     tasks
 }
@@ -265,7 +265,7 @@
     let mut pause = FIRST_ANNOUNCE_EVERY;
     loop {
         tokio::time::sleep(pause).await;
-        if !state.is_informed() || !state.copies.has(Feed::Entries) {
+        if !state.is_synced() || !state.feed_cache.has(Feed::Entries) {
             continue;
         }
         pause = ANNOUNCE_EVERY;
@@ -289,11 +289,11 @@
 async fn expire(state: Arc<GatewayState>) {
     loop {
         tokio::time::sleep(EXPIRE_EVERY).await;
-        state.suspend_recovery.look();
+        state.suspend_recovery.check_suspension();
         let now = state.now();
         state.upstreams.expire(now);
         state.upstreams.check_warm_up(now);
-        state.metrics.upstreams_are(&state.upstreams.counts(now));
+        state.metrics.set_upstream_counts(&state.upstreams.counts(now));
     }
 }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -29,10 +29,10 @@
 use crate::dialect::Dialect;
 use crate::fatal::FatalRequestTracker;
 use crate::metrics::Metrics;
-use crate::peers::FeedCopies;
+use crate::peers::FeedCache;
 use crate::peers::PeerList;
 use crate::planned_stop::PlannedStop;
-use crate::planned_stop::Work;
+use crate::planned_stop::ResponseShape;
 use crate::retry_budgets::RetryBudgets;
 use crate::rollouts::Rollouts;
 use crate::routing::RoutingConfig;
@@ -61,7 +61,7 @@
     /// Where the news of each feed came from last; none means the store.
     pub(crate) news_from: Mutex<BTreeMap<Feed, Option<SocketAddr>>>,
     /// What this entry has read of the store, for others that ask.
-    pub(crate) copies: FeedCopies,
+    pub(crate) feed_cache: FeedCache,
     pub(crate) metrics: Metrics,
     pub(crate) decisions: DecisionLog,
     pub(crate) suspend_recovery: SuspendRecovery,
@@ -75,7 +75,7 @@
     /// The planned stop that is under way.
     stop: Mutex<Option<PlannedStop>>,
     in_progress: AtomicUsize,
-    informed: Notify,
+    sync_changed: Notify,
     /// How often the platform was told that callers should not be sent here.
     not_ready_answers: AtomicUsize,
 }
@@ -101,7 +101,7 @@
             step_up: StepUpConfig { below_confidence },
             peers: Mutex::new(PeerList::new(settings.host.id.clone(), settings.host.zone.clone())),
             news_from: Mutex::default(),
-            copies: FeedCopies::default(),
+            feed_cache: FeedCache::default(),
             metrics: Metrics::default(),
             decisions: DecisionLog::default(),
             suspend_recovery: SuspendRecovery::new(clock.clone()),
@@ -114,7 +114,7 @@
             has_limits: AtomicBool::new(false),
             stop: Mutex::new(None),
             in_progress: AtomicUsize::new(0),
-            informed: Notify::new(),
+            sync_changed: Notify::new(),
             not_ready_answers: AtomicUsize::new(0),
             settings,
             dialect,
@@ -147,17 +147,17 @@
         self.upstreams.set_cold_services(cold.collect());
         *current = Some(config);
         drop(current);
-        self.informed.notify_waiters();
+        self.sync_changed.notify_waiters();
     }
 
     /// The list of upstreams has been read.
     pub(crate) fn set_has_members(&self) {
         self.has_members.store(true, Ordering::SeqCst);
-        self.informed.notify_waiters();
+        self.sync_changed.notify_waiters();
     }
 
     /// The store was heard of in an era.
-    pub(crate) fn store_is_in(&self, era: StoreEra) {
+    pub(crate) fn observe_store_era(&self, era: StoreEra) {
         let before = self.store_era.fetch_max(era.0, Ordering::SeqCst);
         self.metrics.store_era.set(i64::try_from(before.max(era.0)).unwrap_or(i64::MAX));
     }
@@ -180,41 +180,41 @@
     /// It is known which requests are held back, or has been waited for long enough.
     pub(crate) fn set_has_fatal_requests(&self) {
         self.has_fatal_requests.store(true, Ordering::SeqCst);
-        self.informed.notify_waiters();
+        self.sync_changed.notify_waiters();
     }
 
     /// It is known which limits of upstreams hold, or has been waited for long enough.
     pub(crate) fn set_has_limits(&self) {
         self.has_limits.store(true, Ordering::SeqCst);
-        self.informed.notify_waiters();
+        self.sync_changed.notify_waiters();
     }
 
     /// Whether enough is known to decide about requests.
-    pub(crate) fn is_informed(&self) -> bool {
+    pub(crate) fn is_synced(&self) -> bool {
         let has_lists = self.has_members.load(Ordering::SeqCst)
             && self.has_fatal_requests.load(Ordering::SeqCst)
             && self.has_limits.load(Ordering::SeqCst);
-        has_lists && self.config.read().is_some() && !self.suspend_recovery.is_catching_up()
+        has_lists && self.config.read().is_some() && !self.suspend_recovery.is_resyncing()
     }
 
     /// News of a feed came.
     pub(crate) fn mark_received(&self, feed: Feed) {
         self.suspend_recovery.mark_received(feed);
-        self.informed.notify_waiters();
+        self.sync_changed.notify_waiters();
     }
 
     /// Waits until enough is known, for `longest` at most. Says whether it is.
-    pub(crate) async fn wait_until_informed(&self, longest: Duration) -> bool {
-        let informed = async {
+    pub(crate) async fn wait_until_synced(&self, longest: Duration) -> bool {
+        let sync_changed = async {
             loop {
-                let notified = self.informed.notified();
-                if self.is_informed() {
+                let notified = self.sync_changed.notified();
+                if self.is_synced() {
                     return;
                 }
                 notified.await;
             }
         };
-        tokio::time::timeout(longest, informed).await.is_ok()
+        tokio::time::timeout(longest, sync_changed).await.is_ok()
     }
 
     /// Answers the platform's question whether callers should be sent here.
@@ -233,7 +233,7 @@
 
     /// Whether callers should be sent here.
     pub(crate) fn is_ready(&self) -> bool {
-        self.is_informed() && !self.is_leaving()
+        self.is_synced() && !self.is_leaving()
     }
 
     /// Whether a stop has been asked for.
@@ -254,9 +254,9 @@
     }
 
     /// Whether a new request is still taken.
-    pub(crate) fn takes(&self, work: Work) -> bool {
+    pub(crate) fn accepts(&self, work: ResponseShape) -> bool {
         let now = self.now();
-        self.stop.lock().is_none_or(|stop| stop.takes(now, work))
+        self.stop.lock().is_none_or(|stop| stop.accepts(now, work))
     }
 
     /// Another entry is listed: what all may do together is divided among more.
@@ -264,7 +264,7 @@
         self.upstreams.gateway_listed(entry.host.clone());
         let entries = {
             let mut peers = self.peers.lock();
-            peers.listed(entry);
+            peers.add(entry);
             peers.count()
         };
         self.retries.lock().set_burst(self.settings.retries.burst_of(entries));
@@ -286,9 +286,9 @@
 
 /// Counts a request in progress until it is dropped.
 #[derive(Debug)]
-pub(crate) struct InProgress(Arc<GatewayState>);
+pub(crate) struct InProgressGuard(Arc<GatewayState>);
 
-impl InProgress {
+impl InProgressGuard {
     pub(crate) fn count(state: &Arc<GatewayState>) -> Self {
         state.in_progress.fetch_add(1, Ordering::SeqCst);
         state.metrics.in_progress.inc();
@@ -296,7 +296,7 @@
     }
 }
 
-impl Drop for InProgress {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.0.in_progress.fetch_sub(1, Ordering::SeqCst);
         self.0.metrics.in_progress.dec();
--- a/tests/all/decisions/peers.rs
+++ b/tests/all/decisions/peers.rs
@@ -11,7 +11,7 @@
 use stallhoist_gateway::control_store::FeedPage;
 use stallhoist_gateway::control_store::FeedRow;
 use stallhoist_gateway::control_store::ListedEntry;
-use stallhoist_gateway::peers::FeedCopies;
+use stallhoist_gateway::peers::FeedCache;
 use stallhoist_gateway::peers::Origin;
 use stallhoist_gateway::peers::PeerList;
 
@@ -39,7 +39,7 @@
     let list = |own| {
         let mut list = PeerList::new(host(own), zone("a"));
         for n in 0..count {
-            list.listed(entry(n));
+            list.add(entry(n));
         }
         list
     };
@@ -52,7 +52,7 @@
         #[test]
         fn $name() {
             let lists = lists($entries);
-            let direct = lists.iter().filter(|list| list.asked().is_empty()).count();
+            let direct = lists.iter().filter(|list| list.poll_targets().is_empty()).count();
             assert_eq!(direct, $expected);
         }
     };
@@ -68,9 +68,10 @@
 fn the_relays_share_the_work() {
     let lists = lists(100);
     let relays: Vec<_> =
-        (0..100u16).filter(|n| lists[usize::from(*n)].asked().is_empty()).collect();
+        (0..100u16).filter(|n| lists[usize::from(*n)].poll_targets().is_empty()).collect();
     for relay in relays {
-        let first = |list: &&PeerList| list.asked().first() == Some(&(host(relay), addr(relay)));
+        let first =
+            |list: &&PeerList| list.poll_targets().first() == Some(&(host(relay), addr(relay)));
         let share = lists.iter().filter(first).count();
         assert!((20..=45).contains(&share), "{share}");
     }
@@ -81,7 +82,8 @@
     for count in [2, 3, 4, 32] {
         for (n, list) in (0..).zip(lists(count)) {
             let told = list.other_relays();
-            let expected = if list.asked().is_empty() { usize::from(count).min(3) - 1 } else { 0 };
+            let expected =
+                if list.poll_targets().is_empty() { usize::from(count).min(3) - 1 } else { 0 };
             assert!(
                 told.len() == expected && !told.contains(&(host(n), addr(n))),
                 "{count}: {told:?}"
@@ -93,7 +95,7 @@
 #[test]
 fn nobody_asks_itself_and_the_number_asked_is_bounded() {
     for (n, list) in (0..).zip(lists(50)) {
-        let asked = list.asked();
+        let asked = list.poll_targets();
         assert!(asked.len() <= 5 && !asked.contains(&(host(n), addr(n))));
     }
 }
@@ -103,9 +105,9 @@
     let mut list = PeerList::new(host(1), zone("a"));
     let moved = ListedEntry { peers_addr: addr(9), ..entry(1) };
     assert!(!list.is_listed(&entry(1)));
-    list.listed(entry(1));
+    list.add(entry(1));
     assert!(list.is_listed(&entry(1)));
-    list.listed(moved.clone());
+    list.add(moved.clone());
     assert!(!list.is_listed(&entry(1)) && list.is_listed(&moved));
     assert_eq!(list.count(), 1);
 }
@@ -117,7 +119,7 @@
     let mut list = PeerList::new(host(0), zone("a"));
     for n in 0..32 {
         let mbit_per_s = if FAST.contains(&n) { 200 } else { 10 };
-        list.listed(ListedEntry { link: LinkRate::from_mbit_per_s(mbit_per_s), ..entry(n) });
+        list.add(ListedEntry { link: LinkRate::from_mbit_per_s(mbit_per_s), ..entry(n) });
     }
     let relays = list.relays();
     assert_eq!(relays.len(), 3);
@@ -125,7 +127,7 @@
     // A host whose link was slower at its last start loses its place.
     let slowed = relays[0].clone();
     let n = FAST.into_iter().find(|n| host(*n) == slowed).expect("it is one of them");
-    list.listed(ListedEntry { link: LinkRate::from_mbit_per_s(10), ..entry(n) });
+    list.add(ListedEntry { link: LinkRate::from_mbit_per_s(10), ..entry(n) });
     assert!(!list.relays().contains(&slowed));
 }
 
@@ -136,7 +138,7 @@
     for n in 0..40 {
         let mbit_per_s = if n < 12 && n % 4 != 3 { 200 } else { 10 };
         let link = LinkRate::from_mbit_per_s(mbit_per_s);
-        list.listed(ListedEntry { link, zone: Some(zone_of(n)), ..entry(n) });
+        list.add(ListedEntry { link, zone: Some(zone_of(n)), ..entry(n) });
     }
     list
 }
@@ -158,7 +160,7 @@
 fn an_entry_first_asks_the_relay_of_its_zone() {
     let (mut first_of_d, relays) = (Vec::new(), list_of_zones(39).relays());
     for own in (0..40).filter(|own| !relays.contains(&host(*own))) {
-        let asked = list_of_zones(own).asked();
+        let asked = list_of_zones(own).poll_targets();
         let first = number_of(&asked[0].0);
         assert!(relays.contains(&host(first)) && asked.len() == 5);
         if own % 4 == 3 {
@@ -194,8 +196,8 @@
 }
 
 /// A copy read at version 10 with rows a and b; at 12 a was removed.
-fn copies() -> FeedCopies {
-    let copies = FeedCopies::default();
+fn copies() -> FeedCache {
+    let copies = FeedCache::default();
     let whole = page(vec![row("a", 4, true), row("b", 9, true)], 10);
     copies.replace(at_ms(0), Feed::Members, &whole, Origin::Store);
     copies.extend(at_ms(100), Feed::Members, &page(vec![row("a", 12, false)], 12), Origin::Store);
@@ -233,7 +235,7 @@
 
 #[test]
 fn changes_since_an_earlier_era_are_gone() {
-    let copies = FeedCopies::default();
+    let copies = FeedCache::default();
     let whole = FeedPage { version: later(5), ..page(vec![row("a", 4, true)], 0) };
     copies.replace(at_ms(0), Feed::Members, &whole, Origin::Store);
     let answer = copies.page(at_ms(1), Feed::Members, Some(StoreVersion::of(100)));
@@ -258,14 +260,14 @@
 }
 
 /// A copy as above, and one of what operators write that was read at this moment.
-fn copies_with_proof(proof_at_ms: u64) -> FeedCopies {
+fn copies_with_proof(proof_at_ms: u64) -> FeedCache {
     let copies = copies();
     let proof = page(Vec::new(), 12);
     copies.replace(at_ms(proof_at_ms), Feed::Operators, &proof, Origin::Store);
     copies
 }
 
-fn is_fresh(copies: &FeedCopies, ms: u64) -> bool {
+fn is_fresh(copies: &FeedCache, ms: u64) -> bool {
     copies.page(at_ms(ms), Feed::Members, None).is_some()
 }
 
@@ -275,16 +277,16 @@
 fn a_feed_that_is_waited_for_is_as_fresh_as_the_proof() {
     let copies = copies_with_proof(2_000);
     assert!(!is_fresh(&copies, 2_100), "nobody waits for it");
-    copies.set_waiting(Feed::Members, true);
+    copies.set_following(Feed::Members, true);
     assert!(is_fresh(&copies, 3_500) && !is_fresh(&copies, 3_501));
-    copies.set_waiting(Feed::Members, false);
+    copies.set_following(Feed::Members, false);
     assert!(!is_fresh(&copies, 2_100), "its question was not answered");
 }
 
 #[test]
 fn a_proof_from_another_entry_proves_nothing() {
     let copies = copies_with_proof(2_000);
-    copies.set_waiting(Feed::Members, true);
+    copies.set_following(Feed::Members, true);
     let told = page(Vec::new(), 13);
     copies.extend(at_ms(2_050), Feed::Operators, &told, Origin::OtherEntry);
     assert!(!is_fresh(&copies, 2_100));
@@ -292,23 +294,23 @@
 
 #[test]
 fn changes_without_the_rows_before_them_make_no_copy() {
-    let copies = FeedCopies::default();
+    let copies = FeedCache::default();
     copies.extend(at_ms(0), Feed::Members, &page(vec![row("a", 4, true)], 4), Origin::Store);
     assert!(!copies.has(Feed::Members));
 }
 
 #[test]
 fn others_count_for_a_while_after_their_question() {
-    let copies = FeedCopies::default();
-    assert!(!copies.is_asked(at_ms(0)));
-    copies.asked(at_ms(0));
-    assert!(copies.is_asked(at_ms(4_999)) && !copies.is_asked(at_ms(5_000)));
+    let copies = FeedCache::default();
+    assert!(!copies.is_polled(at_ms(0)));
+    copies.record_poll(at_ms(0));
+    assert!(copies.is_polled(at_ms(4_999)) && !copies.is_polled(at_ms(5_000)));
 }
 
 // What came from another entry may be old there: it is good for one that knows nothing.
 #[test]
 fn a_copy_from_another_entry_is_only_the_last_known() {
-    let copies = FeedCopies::default();
+    let copies = FeedCache::default();
     assert!(copies.last_known(at_ms(0), Feed::Members).is_none());
     let whole = page(vec![row("a", 4, true), row("b", 9, true)], 10);
     copies.replace(at_ms(0), Feed::Members, &whole, Origin::OtherEntry);
