--- a/crates/sidecar/src/answer.rs
+++ b/crates/sidecar/src/answer.rs
@@ -1,5 +1,6 @@
-//! An answer in progress. The upstream's task writes it; connections read it, also a
-//! second one after a cut, from any sequence number.
+//! The buffered response of an attempt. The task that calls the upstream writes it.
+//! Connections read it from any sequence number, so that a new connection can resume it
+//! after a connection loss.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::AtomicUsize;
@@ -31,14 +32,14 @@
 
 /// How an attempt ended.
 #[derive(Debug, Clone)]
-pub(crate) enum End {
-    /// It was not run.
+pub(crate) enum AttemptEnd {
+    /// It has not run.
     NotRun { reason: NotRunReason, retry_after: Duration },
     /// It was started.
     Started { kind: FinalKind, detail: String, bill: Option<BillRecord> },
 }
 
-/// How the upstream's answer begins.
+/// Status and content type of the upstream's response.
 #[derive(Debug, Clone)]
 pub(crate) struct Head {
     pub(crate) http_status: u16,
@@ -51,10 +52,10 @@
     chunks: Vec<Bytes>,
     bytes: usize,
     digest: AnswerDigest,
-    end: Option<(End, MonoTime)>,
+    end: Option<(AttemptEnd, MonoTime)>,
 }
 
-/// An attempt with its answer so far.
+/// An attempt with the response received so far.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) id: AttemptId,
@@ -63,10 +64,10 @@
     pub(crate) dispatch: Dispatch,
     pub(crate) deadline: MonoTime,
     pub(crate) uncached_tokens: u64,
-    /// Set when nobody waits for the answer any more.
+    /// Cancelled when the response is no longer needed.
     pub(crate) cancelled: CancellationToken,
     content: Mutex<Content>,
-    /// Counts changes of the content, for readers to wait on.
+    /// The number of changes of the content, which readers watch.
     changes: watch::Sender<u64>,
     readers: AtomicUsize,
     unread_since: Mutex<Option<MonoTime>>,
@@ -108,7 +109,7 @@
 
     pub(crate) fn set_head(&self, head: Head) {
         self.content.lock().head = Some(head);
-        self.changed();
+        self.notify_readers();
     }
 
     pub(crate) fn push(&self, chunk: Bytes) {
@@ -117,18 +118,18 @@
         content.bytes += chunk.len();
         content.chunks.push(chunk);
         drop(content);
-        self.changed();
+        self.notify_readers();
     }
 
-    /// Ends the answer; the first end stands. Whether this one does.
-    pub(crate) fn end(&self, now: MonoTime, end: End) -> bool {
+    /// Ends the response. Only the first end is stored; returns whether this is the first.
+    pub(crate) fn end(&self, now: MonoTime, end: AttemptEnd) -> bool {
         let mut content = self.content.lock();
         let is_first = content.end.is_none();
         if is_first {
             content.end = Some((end, now));
         }
         drop(content);
-        self.changed();
+        self.notify_readers();
         is_first
     }
 
@@ -144,8 +145,8 @@
         self.content.lock().bytes
     }
 
-    /// For how long nobody has read the answer; zero while somebody does.
-    pub(crate) fn unread_for(&self, now: MonoTime) -> Duration {
+    /// How long the response has had no reader; zero while it has one.
+    pub(crate) fn unread_duration(&self, now: MonoTime) -> Duration {
         let mut unread_since = self.unread_since.lock();
         if self.readers.load(Ordering::SeqCst) > 0 {
             *unread_since = None;
@@ -154,19 +155,19 @@
         now.since(*unread_since.get_or_insert(now))
     }
 
-    /// Whether a connection still sends it.
+    /// Whether a connection still sends the response.
     pub(crate) fn is_being_read(&self) -> bool {
         self.readers.load(Ordering::SeqCst) > 0
     }
 
-    /// Sends the answer from `next_sequence` on to a connection until it has ended.
+    /// Sends the response to a connection, from `next_sequence` to its end.
     pub(crate) async fn forward(&self, to: &FrameSender, next_sequence: u64) {
         self.readers.fetch_add(1, Ordering::SeqCst);
-        let _ = self.forward_all(to, next_sequence).await;
+        let _ = self.send_from(to, next_sequence).await;
         self.readers.fetch_sub(1, Ordering::SeqCst);
     }
 
-    async fn forward_all(&self, to: &FrameSender, next_sequence: u64) -> Result<(), WireError> {
+    async fn send_from(&self, to: &FrameSender, next_sequence: u64) -> Result<(), WireError> {
         let mut changes = self.changes.subscribe();
         let mut sequence = next_sequence;
         let mut is_head_sent = false;
@@ -194,7 +195,7 @@
         }
     }
 
-    /// What a reader at `sequence` has yet to see, as of one moment.
+    /// A consistent snapshot of what a reader at `sequence` has not received yet.
     fn after(&self, sequence: u64) -> (Option<Head>, Vec<Bytes>, Option<Body>) {
         let content = self.content.lock();
         let from = usize::try_from(sequence).unwrap_or(usize::MAX).min(content.chunks.len());
@@ -210,16 +211,16 @@
         }
     }
 
-    fn end_message(&self, end: &End, content: &Content) -> Body {
+    fn end_message(&self, end: &AttemptEnd, content: &Content) -> Body {
         let attempt = attempt_to_wire(self.id);
         match end {
-            End::NotRun { reason, retry_after } => Body::Refusal(Refusal {
+            AttemptEnd::NotRun { reason, retry_after } => Body::Refusal(Refusal {
                 attempt,
                 reason: reason.code(),
                 retry_after_ms: u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX),
                 revision: 0,
             }),
-            End::Started { kind, detail, bill } => Body::Final(Final {
+            AttemptEnd::Started { kind, detail, bill } => Body::Final(Final {
                 attempt,
                 chunk_count: content.chunks.len() as u64,
                 digest: content.digest.value(),
@@ -230,7 +231,7 @@
         }
     }
 
-    fn changed(&self) {
+    fn notify_readers(&self) {
         self.changes.send_modify(|changes| *changes += 1);
     }
 }
--- a/crates/sidecar/src/attempts.rs
+++ b/crates/sidecar/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts from their arrival to their end.
+//! The life cycle of attempts: admission, run, end, and lookups of their fate.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,16 +24,17 @@
 use stallhoist_wire::messages::frame::Body;
 
 use crate::answer::Answer;
-use crate::answer::End;
-use crate::gate::GateFacts;
-use crate::gate::check_gate;
+use crate::answer::AttemptEnd;
+use crate::dispatch_check::DispatchContext;
+use crate::dispatch_check::check_dispatch;
 use crate::shared::Shared;
 use crate::upstream;
 
-/// When to come back after a refusal that only a change elsewhere can lift.
-const RETRY_AFTER_CHANGE: Duration = Duration::from_millis(100);
+/// The retry time after a rejection that only a change of table, version or sidecar state
+/// can lift.
+const RETRY_AFTER_STATE_CHANGE: Duration = Duration::from_millis(100);
 
-/// Answers a probe.
+/// Replies to a probe with the prediction for the request.
 pub(crate) fn probe(shared: &Shared, probe: &Probe) -> Result<ProbeReply, WireError> {
     shared.metrics.probes.inc();
     let now = shared.now();
@@ -62,7 +63,8 @@
     } else {
         None
     };
-    let refusal = own_refusal.map(|reason| (reason, RETRY_AFTER_CHANGE)).or(prediction.refusal);
+    let refusal =
+        own_refusal.map(|reason| (reason, RETRY_AFTER_STATE_CHANGE)).or(prediction.refusal);
     Ok(ProbeReply {
         probe_id: probe.probe_id,
         predicted_first_token_us: micros(prediction.first_token),
@@ -74,7 +76,7 @@
     })
 }
 
-/// An attempt came to be run.
+/// Registers a dispatched attempt and starts, queues or rejects it.
 pub(crate) fn dispatch(
     shared: &Arc<Shared>,
     from: &FrameSender,
@@ -87,10 +89,10 @@
     let target = dispatch.target.parse().map_err(|_| WireError::BadField("target"))?;
     match shared.registry.lock().register(now, id) {
         RegisterOutcome::New => {}
-        // It is held already, and its answer is on its way.
+        // The attempt is held already, and its response is being sent.
         RegisterOutcome::Seen => return Ok(()),
         RegisterOutcome::Barred => {
-            refuse_unregistered(from, id, NotRunReason::Barred);
+            reject_unregistered(from, id, NotRunReason::Barred);
             return Ok(());
         }
     }
@@ -107,7 +109,7 @@
     Ok(())
 }
 
-/// Sends an answer to a connection, on a task of its own.
+/// Spawns a task that sends a response to a connection.
 pub(crate) fn forward(answer: &Arc<Answer>, to: &FrameSender, next_sequence: u64) {
     let answer = Arc::clone(answer);
     let to = to.clone();
@@ -115,8 +117,8 @@
 }
 
 fn offer(shared: &Arc<Shared>, answer: &Arc<Answer>) {
-    if let Err(reason) = gate(shared, answer) {
-        return refuse(shared, answer, reason, RETRY_AFTER_CHANGE);
+    if let Err(reason) = check_against_table(shared, answer) {
+        return reject(shared, answer, reason, RETRY_AFTER_STATE_CHANGE);
     }
     let now = shared.now();
     let work = AdmissionRequest {
@@ -132,12 +134,12 @@
         AdmissionDecision::Start => start(shared, answer),
         AdmissionDecision::Queued => shared.admission_changed.notify_one(),
         AdmissionDecision::Refused { reason, retry_after } => {
-            refuse(shared, answer, reason, retry_after)
+            reject(shared, answer, reason, retry_after)
         }
     }
 }
 
-fn gate(shared: &Shared, answer: &Answer) -> Result<(), NotRunReason> {
+fn check_against_table(shared: &Shared, answer: &Answer) -> Result<(), NotRunReason> {
     let is_full = shared.bills.lock().len() >= shared.settings.bill.max_held;
     if is_full {
         return Err(NotRunReason::StoreUnavailable);
@@ -146,18 +148,18 @@
     if answer.dispatch.revision > shared.table.revision().0 {
         return Err(NotRunReason::NoTable);
     }
-    let facts = GateFacts {
+    let context = DispatchContext {
         workspace: &answer.workspace,
         target: &answer.target,
         is_in_session: answer.dispatch.in_session,
         serves: &shared.settings.upstream.serves,
         is_leaving: shared.is_leaving(),
     };
-    check_gate(table.as_deref(), &facts)
+    check_dispatch(table.as_deref(), &context)
 }
 
-/// Starts or refuses waiting work whose turn or end has come.
-pub(crate) fn pump(shared: &Arc<Shared>) {
+/// Starts queued attempts that have a slot and rejects overdue ones.
+pub(crate) fn process_queue(shared: &Arc<Shared>) {
     let decisions = shared.admission.lock().next(shared.now());
     for decision in decisions {
         match decision {
@@ -166,18 +168,18 @@
                     shared.admission.lock().abandoned(&id);
                     continue;
                 };
-                match gate(shared, &answer) {
+                match check_against_table(shared, &answer) {
                     Ok(()) => start(shared, &answer),
                     Err(reason) => {
                         shared.admission.lock().abandoned(&id);
-                        refuse(shared, &answer, reason, RETRY_AFTER_CHANGE);
+                        reject(shared, &answer, reason, RETRY_AFTER_STATE_CHANGE);
                     }
                 }
             }
             QueueDecision::Refused { id, retry_after } => {
                 let answer = shared.answers.lock().get(&id).cloned();
                 if let Some(answer) = answer {
-                    refuse(shared, &answer, NotRunReason::Overloaded, retry_after);
+                    reject(shared, &answer, NotRunReason::Overloaded, retry_after);
                 }
             }
         }
@@ -187,7 +189,7 @@
 fn start(shared: &Arc<Shared>, answer: &Arc<Answer>) {
     answer.set_started();
     if let Some(prefix) = &answer.dispatch.prefix {
-        shared.cache_view.lock().started(&prefix.mark_hashes);
+        shared.cache_view.lock().assume_cached(&prefix.mark_hashes);
     }
     tokio::spawn(run(Arc::clone(shared), Arc::clone(answer)));
 }
@@ -195,32 +197,32 @@
 async fn run(shared: Arc<Shared>, answer: Arc<Answer>) {
     let time_left = answer.deadline.since(shared.now());
     let call = upstream::call(&shared, &answer);
-    let called = tokio::select! {
-        called = call => called,
-        () = answer.cancelled.cancelled() => upstream::Called::cancelled("cancelled"),
-        () = tokio::time::sleep(time_left) => upstream::Called::cancelled("the deadline has passed"),
+    let outcome = tokio::select! {
+        outcome = call => outcome,
+        () = answer.cancelled.cancelled() => upstream::CallOutcome::cancelled("cancelled"),
+        () = tokio::time::sleep(time_left) => upstream::CallOutcome::cancelled("the deadline has passed"),
     };
-    if called.is_cancelled() {
+    if outcome.is_cancelled() {
         upstream::cancel(&shared, &answer).await;
     }
     let now = shared.now();
     let mut admission = shared.admission.lock();
-    match called.completion_tokens() {
+    match outcome.completion_tokens() {
         Some(tokens) => admission.finished(now, &answer.id, tokens),
         None => admission.abandoned(&answer.id),
     }
     drop(admission);
-    conclude(&shared, &answer, called);
+    complete(&shared, &answer, outcome);
     shared.admission_changed.notify_one();
 }
 
-fn conclude(shared: &Shared, answer: &Answer, called: upstream::Called) {
+fn complete(shared: &Shared, answer: &Answer, outcome: upstream::CallOutcome) {
     let now = shared.now();
-    let is_empty = shared.is_engine() && called.completion_tokens() == Some(0);
-    let (end, fate) = called.into_end(shared, answer);
-    if let End::Started { kind, bill, .. } = &end {
+    let is_empty = shared.is_engine() && outcome.completion_tokens() == Some(0);
+    let (end, fate) = outcome.into_end(shared, answer);
+    if let AttemptEnd::Started { kind, bill, .. } = &end {
         let is_failure = upstream::is_failure(*kind) || is_empty;
-        shared.evidence.lock().count(&answer.target, is_failure);
+        shared.evidence.lock().record_end(&answer.target, is_failure);
         if is_failure { &shared.metrics.failures } else { &shared.metrics.answers }.inc();
         if let Some(record) = bill {
             shared.bills.lock().hold(now, record.clone());
@@ -228,18 +230,18 @@
     } else {
         shared.metrics.refusals.inc();
     }
-    // The record is held before the last message can go out.
+    // The bill record is stored before the final message can be sent.
     shared.registry.lock().end(&answer.id, fate);
     answer.end(now, end);
 }
 
-fn refuse(shared: &Shared, answer: &Answer, reason: NotRunReason, retry_after: Duration) {
+fn reject(shared: &Shared, answer: &Answer, reason: NotRunReason, retry_after: Duration) {
     shared.metrics.refusals.inc();
     shared.registry.lock().end(&answer.id, AttemptFate::NotRun);
-    answer.end(shared.now(), End::NotRun { reason, retry_after });
+    answer.end(shared.now(), AttemptEnd::NotRun { reason, retry_after });
 }
 
-fn refuse_unregistered(to: &FrameSender, id: AttemptId, reason: NotRunReason) {
+fn reject_unregistered(to: &FrameSender, id: AttemptId, reason: NotRunReason) {
     to.send_or_close(Body::Refusal(Refusal {
         attempt: attempt_to_wire(id),
         reason: reason.code(),
@@ -248,12 +250,12 @@
     }));
 }
 
-/// Nobody waits for an attempt any more.
+/// Cancels an attempt whose response is no longer needed.
 pub(crate) fn cancel(shared: &Arc<Shared>, id: AttemptId) {
-    // Barred if it is still on its way here.
+    // Bars the attempt if its dispatch has not arrived yet.
     let fate = shared.registry.lock().attest(shared.now(), id);
     if fate != AttemptFate::Held {
-        // Its answer, if it is still kept, has been read to its end.
+        // A response that is still buffered was read completely.
         shared.answers.lock().remove(&id);
         return;
     }
@@ -263,11 +265,11 @@
     answer.cancelled.cancel();
     if !answer.was_started() {
         shared.admission.lock().abandoned(&id);
-        refuse(shared, &answer, NotRunReason::DeadlinePassed, RETRY_AFTER_CHANGE);
+        reject(shared, &answer, NotRunReason::DeadlinePassed, RETRY_AFTER_STATE_CHANGE);
     }
 }
 
-/// Says what is known of an attempt, and bars it if nothing is.
+/// Returns the fate of an attempt, and bars an unknown one.
 pub(crate) fn attest(shared: &Shared, id: AttemptId) -> Attestation {
     let fate = shared.registry.lock().attest(shared.now(), id);
     let has_answer = shared.answers.lock().contains_key(&id);
@@ -281,7 +283,7 @@
     Attestation { attempt: attempt_to_wire(id), fate: fate as i32 }
 }
 
-/// Sends an answer again from a sequence number.
+/// Resumes a response from a sequence number.
 pub(crate) fn resume(shared: &Shared, to: &FrameSender, id: AttemptId, next_sequence: u64) {
     let Some(answer) = shared.answers.lock().get(&id).cloned() else {
         let fate = messages::AttemptFate::Forgotten as i32;
--- a/crates/sidecar/src/background.rs
+++ b/crates/sidecar/src/background.rs
@@ -1,5 +1,5 @@
-//! What a sidecar does besides answering: heartbeats, the queue's clock, sweeping,
-//! orphaned bills, and the view of the engine's cache.
+//! Background tasks of a sidecar: heartbeats, queue processing, removal of old responses,
+//! handover of orphaned bill records, and tracking of the engine's prefix cache.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,12 +15,12 @@
 use crate::shared::Shared;
 use crate::table_sync;
 
-const SWEEP_EVERY: Duration = Duration::from_millis(250);
-const CACHE_POLL_EVERY: Duration = Duration::from_millis(250);
-/// Records in one message to an entry.
-const MAX_ORPHANS: usize = 500;
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+const CACHE_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// The maximum number of records in one message to an entry.
+const MAX_ORPHANED_BILLS: usize = 500;
 
-/// Says the status to all entries, again and again.
+/// Periodically sends the status to all connected entries.
 pub(crate) async fn heartbeat(shared: Arc<Shared>) {
     let every = Duration::from_millis(shared.settings.timing.heartbeat_ms);
     loop {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Starts and refuses waiting work when its time has come.
+/// Starts and rejects queued attempts when they are due.
 pub(crate) async fn run_queue(shared: Arc<Shared>) {
     loop {
         let due = shared.admission.lock().next_due();
@@ -45,20 +45,20 @@
             }
             None => changed.await,
         }
-        attempts::pump(&shared);
+        attempts::process_queue(&shared);
     }
 }
 
-/// Ends what nobody waits for and forgets what nobody will ask for.
+/// Periodically cancels unread attempts and removes old responses.
 pub(crate) async fn sweep(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(SWEEP_EVERY).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         sweep_answers(&shared);
-        offer_orphans(&shared);
+        send_orphaned_bills(&shared);
         if shared.progress_changed.swap(false, Ordering::SeqCst) {
             table_sync::report_progress(&shared);
         }
-        show_gauges(&shared);
+        update_gauges(&shared);
     }
 }
 
@@ -73,18 +73,18 @@
                 shared.answers.lock().remove(&answer.id);
             }
             Some(ended) => finished.push((ended, answer)),
-            // What must not be repeated is run to its end, so that its fate is known.
-            None if answer.dispatch.repeatable && answer.unread_for(now) > window => {
+            // A non-repeatable attempt runs to its end, so that its fate is known.
+            None if answer.dispatch.repeatable && answer.unread_duration(now) > window => {
                 attempts::cancel(shared, answer.id);
             }
             None => {}
         }
     }
-    forget_beyond(shared, finished);
+    evict_over_limit(shared, finished);
 }
 
-/// Keeps finished answers within their bound of bytes; the oldest go first.
-fn forget_beyond(shared: &Shared, mut finished: Vec<(stallhoist_core::MonoTime, Arc<Answer>)>) {
+/// Evicts finished responses, oldest first, until they are within the limit of bytes.
+fn evict_over_limit(shared: &Shared, mut finished: Vec<(stallhoist_core::MonoTime, Arc<Answer>)>) {
     finished.sort_by_key(|(ended, _)| *ended);
     let mut kept: usize = finished.iter().map(|(_, answer)| answer.kept_bytes()).sum();
     for (_, answer) in finished {
@@ -96,23 +96,24 @@
     }
 }
 
-/// Records that no entry has settled for long go to any entry, to be brought to the ledger.
-fn offer_orphans(shared: &Shared) {
+/// Sends bill records that no entry has settled within `orphan_ms` to a random entry, which
+/// writes them to the ledger.
+fn send_orphaned_bills(shared: &Shared) {
     let age = Duration::from_millis(shared.settings.bill.orphan_ms);
     let peers = shared.peers.lock().all();
     if peers.is_empty() {
         return;
     }
-    let orphans = shared.bills.lock().older_than(shared.now(), age, MAX_ORPHANS);
-    if orphans.is_empty() {
+    let orphaned = shared.bills.lock().older_than(shared.now(), age, MAX_ORPHANED_BILLS);
+    if orphaned.is_empty() {
         return;
     }
     let peer = &peers[rand::random_range(0..peers.len())];
-    let records = orphans.iter().map(bill_to_wire).collect();
+    let records = orphaned.iter().map(bill_to_wire).collect();
     let _ = peer.sender.try_send(Body::BillOrphans(BillOrphans { records }));
 }
 
-fn show_gauges(shared: &Shared) {
+fn update_gauges(shared: &Shared) {
     let as_gauge = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
     let admission = shared.admission.lock();
     shared.metrics.in_flight_requests.set(as_gauge(admission.in_flight()));
@@ -146,14 +147,14 @@
     blocks: Vec<u64>,
 }
 
-/// Follows the engine's cache events; a gap asks for the whole list.
-pub(crate) async fn follow_cache(shared: Arc<Shared>) {
+/// Polls the engine's cache events; after a gap it fetches the complete list.
+pub(crate) async fn poll_cache_events(shared: Arc<Shared>) {
     if !shared.is_engine() {
         return;
     }
     loop {
-        tokio::time::sleep(CACHE_POLL_EVERY).await;
-        // An engine without the events is used without them.
+        tokio::time::sleep(CACHE_POLL_INTERVAL).await;
+        // The events are optional for an engine.
         let _ = poll_cache(&shared).await;
     }
 }
@@ -163,12 +164,13 @@
     let after = shared.cache_view.lock().last_sequence();
     let url = format!("{base}/v1/cache-events?after={after}");
     let reply: CacheEvents = shared.http.get(url).send().await?.json().await?;
-    let mut has_gap = false;
+    let mut is_incomplete = false;
     for event in reply.events {
         let is_stored = event.kind == CacheEventKind::Stored;
-        has_gap |= !shared.cache_view.lock().event(event.sequence, is_stored, event.block);
+        is_incomplete |=
+            !shared.cache_view.lock().apply_event(event.sequence, is_stored, event.block);
     }
-    if has_gap {
+    if is_incomplete {
         let url = format!("{base}/v1/cache-blocks");
         let whole: CacheBlocks = shared.http.get(url).send().await?.json().await?;
         shared.cache_view.lock().replace(whole.last_sequence, whole.blocks);
--- a/crates/sidecar/src/cache_view.rs
+++ b/crates/sidecar/src/cache_view.rs
@@ -1,12 +1,12 @@
-//! What is known of the engine's prefix cache, from events that come late and with gaps.
+//! An estimate of the engine's prefix cache, from events that are delayed and may be lost.
 
 use std::collections::HashSet;
 
 use stallhoist_core::prefix_marks;
 use stallhoist_wire::messages::Prefix;
 
-/// The known blocks. A missing event only makes the estimate worse; a gap in the
-/// numbers asks for the whole list.
+/// The known blocks. A missed event only makes the estimate less accurate; a gap in the
+/// sequence numbers requires the complete list.
 #[derive(Debug, Default)]
 pub(crate) struct CacheView {
     blocks: HashSet<u64>,
@@ -18,8 +18,8 @@
         self.last_sequence
     }
 
-    /// Takes in one event; false when events before it are missing.
-    pub(crate) fn event(&mut self, sequence: u64, is_stored: bool, block: u64) -> bool {
+    /// Applies an event; false if events before it are missing.
+    pub(crate) fn apply_event(&mut self, sequence: u64, is_stored: bool, block: u64) -> bool {
         let follows = sequence == self.last_sequence + 1;
         self.last_sequence = self.last_sequence.max(sequence);
         if is_stored {
@@ -30,19 +30,18 @@
         follows
     }
 
-    /// Work with these blocks was started: the engine caches them, and its events will
-    /// say so later.
-    pub(crate) fn started(&mut self, hashes: &[u64]) {
+    /// Adds the blocks of a started attempt, which the engine caches before its events arrive.
+    pub(crate) fn assume_cached(&mut self, hashes: &[u64]) {
         self.blocks.extend(hashes);
     }
 
-    /// Takes in the whole list.
+    /// Replaces all blocks by the complete list.
     pub(crate) fn replace(&mut self, last_sequence: u64, blocks: impl IntoIterator<Item = u64>) {
         self.blocks = blocks.into_iter().collect();
         self.last_sequence = last_sequence;
     }
 
-    /// How many tokens of a prompt's leading blocks are cached, as far as its marks tell.
+    /// The number of cached tokens at the start of a prompt, to the precision of its marks.
     pub(crate) fn cached_tokens(&self, prefix: &Prefix) -> u64 {
         let marks = prefix_marks(prefix.blocks as usize);
         let known = prefix.mark_hashes.iter().zip(marks);
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of an entry.
+//! Connections of entries and the messages they send.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -27,7 +27,7 @@
 use crate::shared::Shared;
 use crate::table_sync;
 
-/// Takes connections until the process ends.
+/// Accepts connections until the process ends.
 pub(crate) async fn accept_all(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -35,7 +35,7 @@
                 tokio::spawn(serve(Arc::clone(&shared), stream));
             }
             Err(error) => {
-                // Out of descriptors, most likely: they come back as connections end.
+                // Most likely out of file descriptors, which are freed as connections end.
                 log::warn!(error:%; "cannot accept a connection");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
@@ -45,9 +45,9 @@
 
 async fn serve(shared: Arc<Shared>, stream: TcpStream) {
     let max_frame_bytes = shared.settings.max_frame_bytes;
-    let shaken =
+    let handshake =
         handshake(stream, Side::Accepter, &shared.identity, &shared.fleet_key, max_frame_bytes);
-    let (framed, identity) = match shaken.await {
+    let (framed, identity) = match handshake.await {
         Ok(done) => done,
         Err(error) => return log::warn!(error:%; "handshake failed"),
     };
@@ -57,31 +57,31 @@
     let peer = Peer { identity, sender: sender.clone(), revision: Revision::default() };
     shared.peers.lock().add(peer);
     let _ = sender.send(Body::Status(shared.status(true))).await;
-    let ended = read_all(&shared, &sender, &mut reader, incarnation).await;
+    let ended = read_messages(&shared, &sender, &mut reader, incarnation).await;
     shared.peers.lock().remove(incarnation, &sender);
     sender.close();
     log::info!(reason:% = ended; "entry disconnected");
 }
 
-async fn read_all(
+async fn read_messages(
     shared: &Arc<Shared>,
     sender: &FrameSender,
     reader: &mut FrameReader,
     peer: IncarnationId,
 ) -> WireError {
-    let silence = Duration::from_millis(shared.settings.timing.peer_timeout_ms);
+    let silence_timeout = Duration::from_millis(shared.settings.timing.peer_timeout_ms);
     loop {
-        let body = match reader.next_within(silence).await {
+        let body = match reader.next_within(silence_timeout).await {
             Ok(body) => body,
             Err(error) => return error,
         };
-        if let Err(error) = take(shared, sender, peer, body) {
+        if let Err(error) = handle_message(shared, sender, peer, body) {
             return error;
         }
     }
 }
 
-fn take(
+fn handle_message(
     shared: &Arc<Shared>,
     sender: &FrameSender,
     peer: IncarnationId,
@@ -104,34 +104,34 @@
             let id = attempt_from_wire(resume.attempt.as_ref())?;
             attempts::resume(shared, sender, id, resume.next_sequence);
         }
-        Body::Status(status) => note_revision(shared, sender, peer, Revision(status.revision)),
+        Body::Status(status) => record_revision(shared, sender, peer, Revision(status.revision)),
         Body::TableHeld(held) => {
-            shared.peers.lock().note_revision(peer, Revision(held.revision));
-            // Reported by the sweep: once for all that hold it by then, not for each.
+            shared.peers.lock().record_revision(peer, Revision(held.revision));
+            // The sweep task reports it, in one message for all entries that hold it by then.
             shared.progress_changed.store(true, Ordering::SeqCst);
         }
         Body::TableSnapshot(snapshot) => {
-            shared.peers.lock().note_revision(peer, Revision(snapshot.revision));
-            table_sync::take_snapshot(shared, &snapshot)?;
+            shared.peers.lock().record_revision(peer, Revision(snapshot.revision));
+            table_sync::apply_snapshot(shared, &snapshot)?;
         }
         Body::TableEdit(edit) => {
-            shared.peers.lock().note_revision(peer, Revision(edit.revision));
-            table_sync::take_edit(shared, sender, &edit)?;
+            shared.peers.lock().record_revision(peer, Revision(edit.revision));
+            table_sync::apply_edit(shared, sender, &edit)?;
         }
         Body::TablePull(_) => shared.table.send_snapshot(sender),
         Body::BillHold(hold) => hold_bill(shared, sender, &hold)?,
         Body::Rated(rated) => {
             let target = rated.target.parse().map_err(|_| WireError::BadField("target"))?;
-            shared.evidence.lock().rated(&target, rated.poor);
+            shared.evidence.lock().record_rating(&target, rated.poor);
         }
-        Body::BillSettled(settled) => settle(shared, &settled.attempts)?,
+        Body::BillSettled(settled) => settle_bills(shared, &settled.attempts)?,
         _ => return Err(WireError::BadField("a message that only sidecars send")),
     }
     Ok(())
 }
 
-fn note_revision(shared: &Shared, sender: &FrameSender, peer: IncarnationId, theirs: Revision) {
-    shared.peers.lock().note_revision(peer, theirs);
+fn record_revision(shared: &Shared, sender: &FrameSender, peer: IncarnationId, theirs: Revision) {
+    shared.peers.lock().record_revision(peer, theirs);
     shared.table.sync_with_peer(sender, theirs);
 }
 
@@ -142,7 +142,7 @@
     Ok(())
 }
 
-fn settle(shared: &Shared, attempts: &[Attempt]) -> Result<(), WireError> {
+fn settle_bills(shared: &Shared, attempts: &[Attempt]) -> Result<(), WireError> {
     let attempts: Result<Vec<AttemptId>, WireError> =
         attempts.iter().map(|attempt| attempt_from_wire(Some(attempt))).collect();
     shared.bills.lock().settle(&attempts?);
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -1,10 +1,10 @@
-//! What a sidecar counts.
+//! Metrics of a sidecar.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 use stallhoist_telemetry::MetricsPage;
 
-/// What a sidecar counts.
+/// Metrics of a sidecar.
 #[derive(Debug, Default)]
 pub(crate) struct Metrics {
     pub(crate) probes: Counter,
--- a/crates/sidecar/src/operators.rs
+++ b/crates/sidecar/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' endpoints of a sidecar.
+//! The operator endpoints of a sidecar.
 
 use std::sync::Arc;
 
@@ -59,7 +59,7 @@
     Ok((ContentType::Plain, text))
 }
 
-/// One attempt, as the dump shows it.
+/// An attempt in the state dump.
 #[derive(Debug, Serialize)]
 struct AttemptDump {
     attempt: String,
@@ -71,7 +71,7 @@
     deadline_in_ms: u64,
 }
 
-/// One connected entry, as the dump shows it.
+/// A connected entry in the state dump.
 #[derive(Debug, Serialize)]
 struct PeerDump {
     host: String,
@@ -80,7 +80,7 @@
     control_sent_bytes: u64,
 }
 
-/// One target's counts, as the dump shows them.
+/// The counters of a target in the state dump.
 #[derive(Debug, Serialize)]
 struct EvidenceDump {
     target: String,
@@ -88,7 +88,7 @@
     counts: Evidence,
 }
 
-/// The whole state, as the dump shows it.
+/// The state dump.
 #[derive(Debug, Serialize)]
 struct StateDump {
     role: &'static str,
--- a/crates/sidecar/src/peers.rs
+++ b/crates/sidecar/src/peers.rs
@@ -1,4 +1,4 @@
-//! The entries that are connected.
+//! The connected entries.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
     pub(crate) revision: Revision,
 }
 
-/// The entries that are connected. An entry that connects again takes its own place.
+/// The connected entries. A new connection of an entry replaces its earlier one.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     by_incarnation: BTreeMap<IncarnationId, Peer>,
@@ -27,7 +27,7 @@
         self.by_incarnation.insert(peer.identity.incarnation, peer);
     }
 
-    /// Removes an entry unless it has connected again meanwhile.
+    /// Removes an entry unless it has reconnected meanwhile.
     pub(crate) fn remove(&mut self, incarnation: IncarnationId, sender: &FrameSender) {
         let held = self.by_incarnation.get(&incarnation);
         if held.is_some_and(|peer| peer.sender.is_same(sender)) {
@@ -35,7 +35,7 @@
         }
     }
 
-    pub(crate) fn note_revision(&mut self, incarnation: IncarnationId, revision: Revision) {
+    pub(crate) fn record_revision(&mut self, incarnation: IncarnationId, revision: Revision) {
         if let Some(peer) = self.by_incarnation.get_mut(&incarnation) {
             peer.revision = peer.revision.max(revision);
         }
@@ -49,7 +49,8 @@
         self.by_incarnation.len()
     }
 
-    /// Sends to all whose connection has room; the others learn it from a later status.
+    /// Sends to all entries whose send queue has room. The others receive the state with a later
+    /// status message.
     pub(crate) fn broadcast(&self, body: &Body) {
         for peer in self.by_incarnation.values() {
             let _ = peer.sender.try_send(body.clone());
--- a/crates/sidecar/src/process.rs
+++ b/crates/sidecar/src/process.rs
@@ -1,4 +1,4 @@
-//! The life of a sidecar: it serves, it leaves, it is gone.
+//! The life cycle of a sidecar: serving, draining, stopped.
 
 use std::marker::PhantomData;
 use std::net::SocketAddr;
@@ -20,35 +20,35 @@
 use crate::operators;
 use crate::shared::Shared;
 
-/// How long an operator's reply is given to go out.
-const STOP_LINGER: Duration = Duration::from_millis(100);
-const CHECK_EVERY: Duration = Duration::from_millis(20);
+/// The time for responses of the operator endpoints to be sent before the server stops.
+const OPERATORS_REPLY_GRACE: Duration = Duration::from_millis(100);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a sidecar did not start.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum SidecarError {
     /// '{0}' is not an IP address with a port
     Address(String),
-    /// cannot listen for entries on {addr}: {cause}
+    /// cannot listen for entry connections on {addr}: {cause}
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The cause.
         cause: std::io::Error,
     },
-    /// the operators' endpoint did not start
+    /// cannot start the operator endpoint
     Operators(#[from] ServerError),
 }
 
-/// The state of a sidecar that takes work.
+/// The state of a sidecar that accepts requests.
 #[derive(Debug)]
 pub struct Serving;
 
-/// The state of a sidecar that takes no new work and finishes what it has.
+/// The state of a sidecar that rejects new requests and finishes the others.
 #[derive(Debug)]
 pub struct Leaving;
 
-/// A running sidecar. Its type says where in its life it is.
+/// A running sidecar. The type parameter is its life cycle state.
 #[derive(Debug)]
 pub struct Sidecar<State = Serving> {
     shared: Arc<Shared>,
@@ -62,7 +62,7 @@
     /// Starts a sidecar.
     ///
     /// # Errors
-    /// Fails when an address cannot be listened on.
+    /// Fails if an address is invalid or cannot be listened on.
     pub async fn start(settings: SidecarSettings) -> Result<Self, SidecarError> {
         let entries_addr = parse_addr(&settings.entries_addr)?;
         let operators_addr = parse_addr(&settings.operators_addr)?;
@@ -80,7 +80,7 @@
         tasks.spawn(background::heartbeat(Arc::clone(&shared)));
         tasks.spawn(background::run_queue(Arc::clone(&shared)));
         tasks.spawn(background::sweep(Arc::clone(&shared)));
-        tasks.spawn(background::follow_cache(Arc::clone(&shared)));
+        tasks.spawn(background::poll_cache_events(Arc::clone(&shared)));
         log::info!(
             host:% = shared.identity.host,
             entries_addr:% = entries_addr,
@@ -90,12 +90,12 @@
         Ok(Self { shared, entries_addr, operators, tasks, state: PhantomData })
     }
 
-    /// Takes no new work from now on, and says so to all entries.
+    /// Stops accepting requests and notifies all connected entries.
     pub fn leave(self) -> Sidecar<Leaving> {
         self.shared.set_leaving();
         let status = Body::Status(self.shared.status(false));
         self.shared.peers.lock().broadcast(&status);
-        log::info!("leaving: no new work");
+        log::info!("draining: rejecting new requests");
         Sidecar {
             shared: self.shared,
             entries_addr: self.entries_addr,
@@ -107,17 +107,17 @@
 }
 
 impl<State> Sidecar<State> {
-    /// Where entries connect to.
+    /// The address that entries connect to.
     pub fn entries_addr(&self) -> SocketAddr {
         self.entries_addr
     }
 
-    /// Where operators connect to.
+    /// The address that operators connect to.
     pub fn operators_addr(&self) -> SocketAddr {
         self.operators.addr()
     }
 
-    /// Ends at once, as a crash would: nothing is finished, nothing is said.
+    /// Stops at once, as in a crash: requests are not finished and entries are not notified.
     pub fn kill(mut self) {
         self.tasks.abort_all();
         self.operators.begin_stop();
@@ -125,34 +125,34 @@
 }
 
 impl Sidecar<Leaving> {
-    /// Waits until all work has ended, its answers were read and its records are
-    /// settled, within the grace of the settings; then ends.
+    /// Waits until all attempts have ended, their responses were read and their bill records are
+    /// settled, at most for `stop_grace_ms`; then stops.
     pub async fn finish(mut self) {
         let grace = Duration::from_millis(self.shared.settings.timing.stop_grace_ms);
-        let finished = tokio::time::timeout(grace, self.all_done()).await;
+        let finished = tokio::time::timeout(grace, self.wait_until_drained()).await;
         if finished.is_err() {
             log::warn!(
                 attempts = self.shared.answers.lock().len(),
                 unsettled_bills = self.shared.bills.lock().len();
-                "stopping with work left"
+                "stopping before all attempts and bill records are done"
             );
         }
         self.tasks.abort_all();
-        self.operators.stop(STOP_LINGER).await;
+        self.operators.stop(OPERATORS_REPLY_GRACE).await;
         log::info!("sidecar stopped");
     }
 
-    async fn all_done(&self) {
-        while !self.is_done() {
-            tokio::time::sleep(CHECK_EVERY).await;
+    async fn wait_until_drained(&self) {
+        while !self.is_drained() {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
-    fn is_done(&self) -> bool {
+    fn is_drained(&self) -> bool {
         let answers: Vec<_> = self.shared.answers.lock().values().cloned().collect();
         let is_over = |a: &Arc<crate::answer::Answer>| a.ended_at().is_some() && !a.is_being_read();
         let has_peers = self.shared.peers.lock().len() > 0;
-        // Without an entry nobody can settle; the neighbour's copy stands in.
+        // Without a connected entry the records cannot be settled here; another sidecar holds a copy.
         let is_settled = self.shared.bills.lock().is_empty() || !has_peers;
         answers.iter().all(is_over) && is_settled
     }
--- a/crates/sidecar/src/shared.rs
+++ b/crates/sidecar/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a sidecar share.
+//! State shared by all tasks of a sidecar.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -26,14 +26,14 @@
 
 use crate::answer::Answer;
 use crate::cache_view::CacheView;
-use crate::evidence::EvidenceBook;
+use crate::evidence::EvidenceCounters;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 
-/// Longer than any deadline, so that a late message finds its attempt's tombstone.
-const REMEMBER_ATTEMPTS: Duration = Duration::from_secs(3_900);
+/// Longer than any deadline, so that a late message still finds the record of its attempt.
+const ATTEMPT_RETENTION: Duration = Duration::from_secs(3_900);
 
-/// What all tasks of a sidecar share. The crate's page states the lock order.
+/// State shared by all tasks of a sidecar. The crate documentation states the lock order.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: SidecarSettings,
@@ -48,11 +48,11 @@
     pub(crate) bills: Mutex<UnsettledBills>,
     pub(crate) peers: Mutex<Peers>,
     pub(crate) cache_view: Mutex<CacheView>,
-    pub(crate) evidence: Mutex<EvidenceBook>,
+    pub(crate) evidence: Mutex<EvidenceCounters>,
     pub(crate) metrics: Metrics,
-    /// Told whenever waiting work may start or has changed.
+    /// Notified when queued attempts may start or the queue has changed.
     pub(crate) admission_changed: Notify,
-    /// Whether an entry has said that it holds a revision since the last report.
+    /// Whether an entry has confirmed a revision since the last progress report.
     pub(crate) progress_changed: AtomicBool,
     is_leaving: AtomicBool,
 }
@@ -64,7 +64,7 @@
             zone: settings.host.zone.clone(),
             incarnation: IncarnationId::generate(),
         };
-        // The upstream is on this host; a proxy of the environment must not stand between.
+        // The upstream is on this host, so proxy settings of the environment are ignored.
         let http = reqwest::Client::builder()
             .no_proxy()
             .tcp_nodelay(true)
@@ -77,7 +77,7 @@
             http,
             table: ActiveTable::default(),
             answers: Mutex::default(),
-            registry: Mutex::new(AttemptRegistry::new(REMEMBER_ATTEMPTS)),
+            registry: Mutex::new(AttemptRegistry::new(ATTEMPT_RETENTION)),
             admission: Mutex::new(AdmissionController::new(admission_config(&settings))),
             bills: Mutex::default(),
             peers: Mutex::default(),
@@ -107,7 +107,8 @@
         self.settings.upstream.kind == UpstreamKind::Engine
     }
 
-    /// What this sidecar tells its entries of itself.
+    /// The status message to entries. The first one on a connection holds all counters and the
+    /// served targets; later ones hold the counters that have changed.
     pub(crate) fn status(&self, is_first: bool) -> Status {
         let counts =
             if is_first { self.evidence.lock().all() } else { self.evidence.lock().take_changed() };
--- a/crates/sidecar/src/table_sync.rs
+++ b/crates/sidecar/src/table_sync.rs
@@ -1,4 +1,4 @@
-//! Spreading the table among the entries that are connected.
+//! Distribution of the table among the connected entries.
 
 use stallhoist_coordination::InstallOutcome;
 use stallhoist_table::LogEntry;
@@ -15,18 +15,18 @@
 
 use crate::shared::Shared;
 
-/// A whole table came.
-pub(crate) fn take_snapshot(shared: &Shared, message: &TableSnapshot) -> Result<(), WireError> {
+/// Applies a received table snapshot.
+pub(crate) fn apply_snapshot(shared: &Shared, message: &TableSnapshot) -> Result<(), WireError> {
     let table = table_from_wire(message)?;
     if shared.table.install(table) == InstallOutcome::Newer {
-        announce(shared);
-        send_to_older(shared);
+        publish_revision(shared);
+        send_to_outdated(shared);
     }
     Ok(())
 }
 
-/// A committed edit came.
-pub(crate) fn take_edit(
+/// Applies a received edit, which is committed in the store.
+pub(crate) fn apply_edit(
     shared: &Shared,
     from: &FrameSender,
     message: &TableEdit,
@@ -34,8 +34,8 @@
     let entry = entry_from_wire(message)?;
     match shared.table.apply(&entry) {
         InstallOutcome::Newer => {
-            announce(shared);
-            pass_on(shared, &entry, message);
+            publish_revision(shared);
+            forward_edit(shared, &entry, message);
         }
         InstallOutcome::Gap => shared.table.request_snapshot(from),
         InstallOutcome::NotNewer => {}
@@ -43,7 +43,7 @@
     Ok(())
 }
 
-/// Tells each connected entry which of them hold the revision that is in force here.
+/// Reports to each connected entry which of them hold the active revision.
 pub(crate) fn report_progress(shared: &Shared) {
     let revision = shared.table.revision();
     let peers = shared.peers.lock();
@@ -52,17 +52,17 @@
     peers.broadcast(&Body::TableProgress(TableProgress { revision: revision.0, holders }));
 }
 
-fn announce(shared: &Shared) {
+fn publish_revision(shared: &Shared) {
     let revision = shared.table.revision();
-    log::info!(revision = revision.0; "table in force");
+    log::info!(revision = revision.0; "table activated");
     shared.metrics.revision.set(i64::try_from(revision.0).unwrap_or(i64::MAX));
     let held = Body::TableHeld(TableHeld { revision: revision.0 });
     shared.peers.lock().broadcast(&held);
-    // Work that waits may no longer be allowed.
+    // Queued attempts may no longer be allowed.
     shared.admission_changed.notify_one();
 }
 
-fn pass_on(shared: &Shared, entry: &LogEntry, message: &TableEdit) {
+fn forward_edit(shared: &Shared, entry: &LogEntry, message: &TableEdit) {
     for peer in shared.peers.lock().all() {
         if peer.revision < entry.revision {
             let _ = peer.sender.try_send(Body::TableEdit(message.clone()));
@@ -70,7 +70,7 @@
     }
 }
 
-fn send_to_older(shared: &Shared) {
+fn send_to_outdated(shared: &Shared) {
     let revision = shared.table.revision();
     let Some(table) = shared.table.current() else {
         return;
--- a/crates/sidecar/src/upstream/called.rs
+++ b/crates/sidecar/src/upstream/call_outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a call.
+//! The outcome of a call to the upstream.
 
 use std::time::Duration;
 
@@ -11,24 +11,24 @@
 use stallhoist_wire::messages::FinalKind;
 
 use crate::answer::Answer;
-use crate::answer::End;
+use crate::answer::AttemptEnd;
 use crate::shared::Shared;
 
-/// When to try an upstream again that refused the connection.
+/// The retry time after the upstream refused a connection.
 const RETRY_AFTER_UNREACHABLE: Duration = Duration::from_millis(500);
 
-/// What became of a call to the upstream.
+/// The outcome of a call to the upstream.
 #[derive(Debug)]
-pub(crate) enum Called {
-    /// The connection was refused: nothing ran.
+pub(crate) enum CallOutcome {
+    /// The connection was refused, so nothing ran.
     Unreachable,
-    /// The whole answer came.
+    /// The response is complete.
     Whole(Usage),
-    /// It ended otherwise.
+    /// The call failed, was cancelled, or its response was truncated.
     Other { kind: FinalKind, detail: String },
 }
 
-impl Called {
+impl CallOutcome {
     pub(crate) fn cancelled(why: &str) -> Self {
         Self::Other { kind: FinalKind::Cancelled, detail: why.to_owned() }
     }
@@ -41,7 +41,7 @@
         matches!(self, Self::Other { kind: FinalKind::Cancelled, .. })
     }
 
-    /// The length of a whole answer, in tokens.
+    /// The length of a complete response, in tokens.
     pub(crate) fn completion_tokens(&self) -> Option<u64> {
         match self {
             Self::Whole(usage) => Some(usage.completion_tokens.0),
@@ -49,20 +49,21 @@
         }
     }
 
-    pub(crate) fn into_end(self, shared: &Shared, answer: &Answer) -> (End, AttemptFate) {
+    pub(crate) fn into_end(self, shared: &Shared, answer: &Answer) -> (AttemptEnd, AttemptFate) {
         match self {
             Self::Unreachable => {
                 let reason = NotRunReason::UpstreamUnreachable;
-                let end = End::NotRun { reason, retry_after: RETRY_AFTER_UNREACHABLE };
+                let end = AttemptEnd::NotRun { reason, retry_after: RETRY_AFTER_UNREACHABLE };
                 (end, AttemptFate::NotRun)
             }
             Self::Whole(usage) => {
                 let bill = Some(bill(shared, answer, usage));
-                let end = End::Started { kind: FinalKind::Whole, detail: String::new(), bill };
+                let end =
+                    AttemptEnd::Started { kind: FinalKind::Whole, detail: String::new(), bill };
                 (end, AttemptFate::Finished)
             }
             Self::Other { kind, detail } => {
-                (End::Started { kind, detail, bill: None }, AttemptFate::Finished)
+                (AttemptEnd::Started { kind, detail, bill: None }, AttemptFate::Finished)
             }
         }
     }
--- a/crates/sidecar/src/upstream/engine.rs
+++ b/crates/sidecar/src/upstream/engine.rs
@@ -11,50 +11,51 @@
 use stallhoist_core::Usage;
 use stallhoist_wire::messages::FinalKind;
 
-use super::Called;
-use super::upstream_id;
-use super::whole;
+use super::CallOutcome;
+use super::non_streaming;
+use super::upstream_request_id;
 use crate::answer::Answer;
 use crate::shared::Shared;
 
-/// The event that ends a whole stream.
-const END_MARK: &str = "[DONE]";
-/// A connection to the engine that breaks is resumed so often.
+/// The event that ends a complete stream.
+const DONE_EVENT: &str = "[DONE]";
+/// The maximum number of times a broken connection to the engine is resumed.
 const MAX_RESUMES: u32 = 2;
 
-/// Where an engine keeps the stream of an attempt.
+/// The URL of an attempt's stream on the engine.
 pub(super) fn stream_url(shared: &Shared, id: AttemptId) -> String {
     let base = shared.settings.upstream.url.trim_end_matches('/');
-    format!("{base}/v1/streams/{}", upstream_id(id))
+    format!("{base}/v1/streams/{}", upstream_request_id(id))
 }
 
-pub(super) async fn call_streaming(shared: &Arc<Shared>, answer: &Arc<Answer>) -> Called {
-    let response = match whole::send(shared, answer).await {
+pub(super) async fn call_streaming(shared: &Arc<Shared>, answer: &Arc<Answer>) -> CallOutcome {
+    let response = match non_streaming::send(shared, answer).await {
         Ok(response) => response,
-        Err(called) => return called,
+        Err(outcome) => return outcome,
     };
     let status = response.status();
-    answer.set_head(whole::head(&response));
+    answer.set_head(non_streaming::head(&response));
     if !status.is_success() {
-        if let Err(called) = whole::pass_body(response, answer).await {
-            return called;
+        if let Err(outcome) = non_streaming::forward_body(response, answer).await {
+            return outcome;
         }
-        return Called::Other {
+        return CallOutcome::Other {
             kind: FinalKind::UpstreamError,
             detail: format!("upstream answered with status {}", status.as_u16()),
         };
     }
-    follow(shared, answer, response).await
+    read_stream(shared, answer, response).await
 }
 
-/// Follows a stream to its end mark, over a break if the engine still has it.
-async fn follow(shared: &Arc<Shared>, answer: &Arc<Answer>, first: Response) -> Called {
+/// Reads a stream to its final event. A broken connection is resumed if the engine still has
+/// the stream.
+async fn read_stream(shared: &Arc<Shared>, answer: &Arc<Answer>, first: Response) -> CallOutcome {
     let mut usage = None;
     let mut response = first;
     for _ in 0..=MAX_RESUMES {
-        if pass_events(shared, answer, response, &mut usage).await {
+        if forward_events(shared, answer, response, &mut usage).await {
             let counted = counted_usage(answer);
-            return Called::Whole(usage.unwrap_or(counted));
+            return CallOutcome::Whole(usage.unwrap_or(counted));
         }
         let from = answer.chunk_count();
         let url = format!("{}?from={from}", stream_url(shared, answer.id));
@@ -63,11 +64,11 @@
             _ => break,
         };
     }
-    Called::truncated("upstream broke off before the end of its answer")
+    CallOutcome::truncated("upstream broke off before the end of its answer")
 }
 
-/// Passes events on; whether the end mark came.
-async fn pass_events(
+/// Appends events to the response. Returns whether the final event was received.
+async fn forward_events(
     shared: &Shared,
     answer: &Answer,
     response: Response,
@@ -75,7 +76,7 @@
 ) -> bool {
     let mut events = response.bytes_stream().eventsource();
     while let Some(Ok(event)) = events.next().await {
-        if event.data == END_MARK {
+        if event.data == DONE_EVENT {
             return true;
         }
         if let Some(reported) = reported_usage(&event.data) {
@@ -92,15 +93,15 @@
 }
 
 fn reported_usage(data: &str) -> Option<Usage> {
-    // Most events carry none, and parsing each would cost more than all else here.
+    // Most events have no usage, and parsing each of them would dominate the cost.
     if !data.contains("\"usage\"") {
         return None;
     }
-    let event: whole::WithUsage = serde_json::from_str(data).ok()?;
+    let event: non_streaming::UsageEnvelope = serde_json::from_str(data).ok()?;
     event.usage.map(Usage::from)
 }
 
-/// The usage of an engine that reports none: what was sent and what came.
+/// The usage if the engine reports none: prompt tokens of the dispatch and received chunks.
 fn counted_usage(answer: &Answer) -> Usage {
     Usage {
         prompt_tokens: TokenCount(answer.dispatch.prompt_tokens),
--- a/crates/sidecar/src/upstream/whole.rs
+++ b/crates/sidecar/src/upstream/non_streaming.rs
@@ -1,4 +1,4 @@
-//! Calls whose answer comes as one body: plain services, and engines without streaming.
+//! Calls with a response body in one piece: plain services, and engines without streaming.
 
 use bytes::Bytes;
 use futures_util::StreamExt;
@@ -10,9 +10,9 @@
 use stallhoist_core::Usage;
 use stallhoist_wire::messages::FinalKind;
 
-use super::Called;
+use super::CallOutcome;
 use super::REQUEST_ID_HEADER;
-use super::upstream_id;
+use super::upstream_request_id;
 use crate::answer::Answer;
 use crate::answer::Head;
 use crate::shared::Shared;
@@ -20,7 +20,7 @@
 const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key";
 const DEFAULT_CONTENT_TYPE: &str = "application/octet-stream";
 
-/// The part of an answer that says what was used.
+/// The token usage in a response.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct UsageReport {
@@ -37,48 +37,48 @@
     }
 }
 
-/// An answer, or one event of it, as far as the usage goes.
+/// A response or an event of a stream, of which only the usage is parsed.
 #[derive(Debug, Default, Deserialize)]
-pub(super) struct WithUsage {
+pub(super) struct UsageEnvelope {
     #[serde(default)]
     pub(super) usage: Option<UsageReport>,
 }
 
-pub(super) async fn call_whole(shared: &Shared, answer: &Answer) -> Called {
+pub(super) async fn call_non_streaming(shared: &Shared, answer: &Answer) -> CallOutcome {
     let response = match send(shared, answer).await {
         Ok(response) => response,
-        Err(called) => return called,
+        Err(outcome) => return outcome,
     };
     let status = response.status();
     answer.set_head(head(&response));
-    let body = match pass_body(response, answer).await {
+    let body = match forward_body(response, answer).await {
         Ok(body) => body,
-        Err(called) => return called,
+        Err(outcome) => return outcome,
     };
     if !status.is_success() {
-        return Called::Other {
+        return CallOutcome::Other {
             kind: FinalKind::UpstreamError,
             detail: format!("upstream answered with status {}", status.as_u16()),
         };
     }
     if !shared.is_engine() {
-        return Called::Whole(Usage::default());
+        return CallOutcome::Whole(Usage::default());
     }
-    match serde_json::from_slice::<WithUsage>(&body) {
-        Ok(report) => Called::Whole(report.usage.unwrap_or_default().into()),
-        Err(_) => Called::truncated("upstream's answer is not whole"),
+    match serde_json::from_slice::<UsageEnvelope>(&body) {
+        Ok(report) => CallOutcome::Whole(report.usage.unwrap_or_default().into()),
+        Err(_) => CallOutcome::truncated("upstream's answer is not whole"),
     }
 }
 
-/// Sends the attempt; an error says what became of it.
-pub(super) async fn send(shared: &Shared, answer: &Answer) -> Result<Response, Called> {
+/// Sends the request. The error is the outcome of the call.
+pub(super) async fn send(shared: &Shared, answer: &Answer) -> Result<Response, CallOutcome> {
     let dispatch = &answer.dispatch;
     let url = format!("{}{}", shared.settings.upstream.url.trim_end_matches('/'), dispatch.path);
     let method: Method = dispatch.method.parse().unwrap_or(Method::POST);
     let mut request = shared
         .http
         .request(method, url)
-        .header(REQUEST_ID_HEADER, upstream_id(answer.id))
+        .header(REQUEST_ID_HEADER, upstream_request_id(answer.id))
         .body(dispatch.body.clone());
     if !dispatch.content_type.is_empty() {
         request = request.header(CONTENT_TYPE, &dispatch.content_type);
@@ -89,9 +89,9 @@
     request.send().await.map_err(|error| {
         // Only a refused connection proves that nothing ran.
         if error.is_connect() {
-            Called::Unreachable
+            CallOutcome::Unreachable
         } else {
-            Called::truncated(format!("upstream broke off: {error}"))
+            CallOutcome::truncated(format!("upstream broke off: {error}"))
         }
     })
 }
@@ -105,12 +105,15 @@
     }
 }
 
-/// Passes a body on as it comes and gives it whole.
-pub(super) async fn pass_body(response: Response, answer: &Answer) -> Result<Bytes, Called> {
+/// Appends a body to the response as it arrives, and returns it complete.
+pub(super) async fn forward_body(
+    response: Response,
+    answer: &Answer,
+) -> Result<Bytes, CallOutcome> {
     let mut parts = response.bytes_stream();
     let mut whole = Vec::new();
     while let Some(part) = parts.next().await {
-        let part = part.map_err(|e| Called::truncated(format!("upstream broke off: {e}")))?;
+        let part = part.map_err(|e| CallOutcome::truncated(format!("upstream broke off: {e}")))?;
         whole.extend_from_slice(&part);
         answer.push(part);
     }
