--- a/crates/coordination/src/active_table.rs
+++ b/crates/coordination/src/active_table.rs
@@ -1,4 +1,4 @@
-//! The table in force in one process.
+//! The active table of a process.
 
 use std::sync::Arc;
 
@@ -7,18 +7,18 @@
 use stallhoist_table::Table;
 use tokio::sync::watch;
 
-/// What became of a table or an edit that was offered.
+/// The outcome of installing a table or applying an edit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstallOutcome {
-    /// It is in force now.
+    /// It is active now.
     Newer,
-    /// What is in force is at least as new.
+    /// The active table is at least as new.
     NotNewer,
-    /// It does not follow what is in force: the whole table is needed.
+    /// The edit does not follow the active revision; a snapshot is needed.
     Gap,
 }
 
-/// The table in force in one process. Invariant: its revision never falls.
+/// The active table of a process. Its revision never decreases.
 #[derive(Debug)]
 pub struct ActiveTable {
     current: watch::Sender<Option<Arc<Table>>>,
@@ -31,22 +31,22 @@
 }
 
 impl ActiveTable {
-    /// The table in force; none until the first came.
+    /// The active table; none before the first one is installed.
     pub fn current(&self) -> Option<Arc<Table>> {
         self.current.borrow().clone()
     }
 
-    /// The revision in force; zero until the first table came.
+    /// The active revision; zero before the first table is installed.
     pub fn revision(&self) -> Revision {
         self.current.borrow().as_ref().map(|table| table.revision).unwrap_or_default()
     }
 
-    /// Changes of the table, for those who wait for them.
+    /// Subscribes to changes of the active table.
     pub fn subscribe(&self) -> watch::Receiver<Option<Arc<Table>>> {
         self.current.subscribe()
     }
 
-    /// Puts a whole table in force if it is newer.
+    /// Activates a table if it is newer.
     pub fn install(&self, table: Table) -> InstallOutcome {
         let mut outcome = InstallOutcome::NotNewer;
         self.current.send_if_modified(|current| {
@@ -60,7 +60,7 @@
         outcome
     }
 
-    /// Puts a committed edit in force if it follows.
+    /// Applies a committed edit if it follows the active revision.
     pub fn apply(&self, entry: &LogEntry) -> InstallOutcome {
         let mut outcome = InstallOutcome::NotNewer;
         self.current.send_if_modified(|current| {
--- a/crates/coordination/src/attempts.rs
+++ b/crates/coordination/src/attempts.rs
@@ -1,8 +1,8 @@
-//! What a sidecar knows of attempts: which it has seen, and which are barred.
+//! The registry of attempts at a sidecar, which makes "not run" provable.
 //!
-//! This is what makes "not run" true. An attempt is seen at most once; one that was
-//! asked about before it came is barred and will never run here. Entries are kept
-//! longer than any deadline, so that a late message finds its tombstone.
+//! An attempt is accepted at most once. One whose fate is queried before it arrives is barred
+//! and never runs here. Records are kept longer than any deadline, so that a late message
+//! still finds the record of its attempt.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -11,99 +11,99 @@
 
 use stallhoist_core::MonoTime;
 
-/// What a sidecar knows of an attempt.
+/// The fate of an attempt at a sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptFate {
-    /// Never seen, and barred from now on.
+    /// Never received, and barred from now on.
     Barred,
-    /// Waiting or running.
+    /// Queued or running.
     Held,
     /// Started and ended.
     Finished,
-    /// Refused before it started.
+    /// Rejected before it started.
     NotRun,
 }
 
-/// The answer to a registration.
+/// The outcome of a registration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RegisterOutcome {
-    /// It is new, and held from now on.
+    /// The attempt is new and is held from now on.
     New,
-    /// It was barred before it came: it must not run.
+    /// The attempt was barred before it arrived and must not run.
     Barred,
-    /// It was seen before: it must not run again.
+    /// The attempt was registered before and must not run again.
     Seen,
 }
 
-/// Which attempts a sidecar has seen or barred.
+/// The attempts that a sidecar has received or barred.
 #[derive(Debug)]
 pub struct AttemptRegistry<Id> {
     fates: HashMap<Id, AttemptFate>,
     by_age: VecDeque<(MonoTime, Id)>,
-    keep: Duration,
+    retention: Duration,
 }
 
 impl<Id: Copy + Eq + Hash> AttemptRegistry<Id> {
-    /// A registry that remembers each attempt for `keep`, which must exceed the
-    /// longest time between an attempt's dispatch and the last message about it.
-    pub fn new(keep: Duration) -> Self {
-        Self { fates: HashMap::new(), by_age: VecDeque::new(), keep }
+    /// Creates a registry that keeps the record of each attempt for `retention`, which must exceed
+    /// the longest time between the dispatch of an attempt and the last message about it.
+    pub fn new(retention: Duration) -> Self {
+        Self { fates: HashMap::new(), by_age: VecDeque::new(), retention }
     }
 
-    /// Registers an attempt that came to be run.
+    /// Registers a dispatched attempt.
     pub fn register(&mut self, now: MonoTime, id: Id) -> RegisterOutcome {
-        self.forget_old(now);
+        self.remove_expired(now);
         match self.fates.get(&id) {
             Some(AttemptFate::Barred) => RegisterOutcome::Barred,
             Some(_) => RegisterOutcome::Seen,
             None => {
-                self.remember(now, id, AttemptFate::Held);
+                self.record(now, id, AttemptFate::Held);
                 RegisterOutcome::New
             }
         }
     }
 
-    /// Says what is known of an attempt, and bars it if nothing is.
+    /// Returns the fate of an attempt, and bars an unknown one.
     pub fn attest(&mut self, now: MonoTime, id: Id) -> AttemptFate {
-        self.forget_old(now);
+        self.remove_expired(now);
         match self.fates.get(&id) {
             Some(fate) => *fate,
             None => {
-                self.remember(now, id, AttemptFate::Barred);
+                self.record(now, id, AttemptFate::Barred);
                 AttemptFate::Barred
             }
         }
     }
 
-    /// A held attempt has ended.
+    /// Sets the fate of an attempt that has ended.
     pub fn end(&mut self, id: &Id, fate: AttemptFate) {
         if let Some(held) = self.fates.get_mut(id) {
             *held = fate;
         }
     }
 
-    /// How many attempts are remembered.
+    /// The number of recorded attempts.
     pub fn len(&self) -> usize {
         self.fates.len()
     }
 
-    /// Whether none is.
+    /// Whether no attempt is recorded.
     pub fn is_empty(&self) -> bool {
         self.fates.is_empty()
     }
 
-    fn remember(&mut self, now: MonoTime, id: Id, fate: AttemptFate) {
+    fn record(&mut self, now: MonoTime, id: Id, fate: AttemptFate) {
         self.fates.insert(id, fate);
         self.by_age.push_back((now, id));
     }
 
-    fn forget_old(&mut self, now: MonoTime) {
+    fn remove_expired(&mut self, now: MonoTime) {
         while let Some((since, id)) = self.by_age.front().copied() {
-            if now.since(since) < self.keep {
+            if now.since(since) < self.retention {
                 return;
             }
             self.by_age.pop_front();
-            // What still runs is remembered for another round.
+            // A held attempt is kept for another retention period.
             if self.fates.get(&id) == Some(&AttemptFate::Held) {
                 self.by_age.push_back((now, id));
             } else {
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -1,9 +1,8 @@
-//! Claims of idempotency keys, so that what must not be repeated runs at most once.
+//! Claims of idempotency keys, so that a non-repeatable request runs at most once.
 //!
-//! A claim is a record `claims/<workspace>/<key>` that names the request that holds
-//! it. It is written if absent, before anything is dispatched. Claims that come close
-//! together share a write. A lost reply is settled by reading the record back: whose
-//! request stands in it holds the claim.
+//! A claim is a record `claims/<workspace>/<key>` with the id of the request that holds it. It
+//! is written if absent, before anything is dispatched. Claims are written in batches. After a
+//! lost reply the record is read back: the request in it holds the claim.
 
 use std::time::Duration;
 
@@ -23,22 +22,22 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-const PREFIX: &str = "claims/";
-const MAX_WAITING: usize = 10_000;
+const KEY_PREFIX: &str = "claims/";
+const MAX_QUEUED_CLAIMS: usize = 10_000;
 
-/// Why a claim was not won.
+/// Why a claim was not acquired.
 #[derive(Debug, Clone, Display, thiserror::Error)]
 pub enum ClaimError {
     /// request {0} holds the key
     Taken(RequestId),
-    /// the store does not answer; the claim may have been written
+    /// the store does not respond; the claim may have been written
     Unavailable,
 }
 
-/// A claim to be made.
+/// A claim to be written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingClaim {
-    /// Whose key it is.
+    /// The workspace of the key.
     pub workspace: WorkspaceName,
     /// The key.
     pub key: IdempotencyKey,
@@ -48,7 +47,7 @@
 
 impl PendingClaim {
     fn record_key(&self) -> String {
-        format!("{PREFIX}{}/{}", self.workspace, self.key)
+        format!("{KEY_PREFIX}{}/{}", self.workspace, self.key)
     }
 }
 
@@ -57,43 +56,42 @@
     request: RequestId,
 }
 
-type Waiter = (PendingClaim, oneshot::Sender<Result<(), ClaimError>>);
+type QueuedClaim = (PendingClaim, oneshot::Sender<Result<(), ClaimError>>);
 
-/// Makes and releases claims for one entry. Claims share writes.
+/// Acquires and releases claims for one entry, in batches.
 #[derive(Debug, Clone)]
 pub struct ClaimStore {
     platform: PlatformClient,
-    waiting: mpsc::Sender<Waiter>,
+    queue: mpsc::Sender<QueuedClaim>,
 }
 
 impl ClaimStore {
-    /// Starts the task that writes claims; each waits at most `batch_time` for others,
-    /// and at most `max_batch` share a write.
+    /// Starts the task that writes claims in batches of at most `max_batch`, each collected for
+    /// at most `batch_time`.
     pub fn start(platform: PlatformClient, batch_time: Duration, max_batch: usize) -> Self {
-        let (waiting, incoming) = mpsc::channel(MAX_WAITING);
-        let store = Self { platform, waiting };
+        let (queue, incoming) = mpsc::channel(MAX_QUEUED_CLAIMS);
+        let store = Self { platform, queue };
         let writer = store.platform.clone();
         tokio::spawn(write_batches(writer, incoming, batch_time, max_batch));
         store
     }
 
-    /// Makes a claim.
+    /// Acquires a claim.
     ///
     /// # Errors
-    /// [`ClaimError::Taken`] when another request holds the key;
-    /// [`ClaimError::Unavailable`] when that is not known: then nothing may be
-    /// dispatched, and the claim is to be released.
+    /// [`ClaimError::Taken`] if another request holds the key. [`ClaimError::Unavailable`] if the
+    /// outcome is unknown; then nothing may be dispatched, and the claim has to be released.
     pub async fn claim(&self, claim: PendingClaim) -> Result<(), ClaimError> {
-        let (tell, told) = oneshot::channel();
-        let queued = self.waiting.try_send((claim, tell));
+        let (reply, response) = oneshot::channel();
+        let queued = self.queue.try_send((claim, reply));
         queued.map_err(|_| ClaimError::Unavailable)?;
-        told.await.unwrap_or(Err(ClaimError::Unavailable))
+        response.await.unwrap_or(Err(ClaimError::Unavailable))
     }
 
     /// Releases a claim if the request holds it.
     ///
     /// # Errors
-    /// Fails when the store does not answer; it is safe to try again.
+    /// Fails if the store does not respond; a retry is safe.
     pub async fn release(&self, claim: &PendingClaim) -> Result<(), StoreError> {
         let key = claim.record_key();
         let Some(record) = self.platform.read(&key).await? else {
@@ -117,63 +115,63 @@
 
 async fn write_batches(
     platform: PlatformClient,
-    mut incoming: mpsc::Receiver<Waiter>,
+    mut incoming: mpsc::Receiver<QueuedClaim>,
     batch_time: Duration,
     max_batch: usize,
 ) {
     while let Some(first) = incoming.recv().await {
         let mut batch = vec![first];
-        let closes = tokio::time::Instant::now() + batch_time;
+        let batch_end = tokio::time::Instant::now() + batch_time;
         while batch.len() < max_batch {
-            match tokio::time::timeout_at(closes, incoming.recv()).await {
+            match tokio::time::timeout_at(batch_end, incoming.recv()).await {
                 Ok(Some(waiter)) => batch.push(waiter),
                 _ => break,
             }
         }
-        // Writes overlap, so that a slow one does not hold up the next.
+        // Batches are written concurrently, so that a slow write does not delay the next.
         tokio::spawn(write_batch(platform.clone(), batch));
     }
 }
 
-/// Writes a batch. A conflict fails the whole transaction, so the conflicting claims
-/// are answered and the rest is written again.
-async fn write_batch(platform: PlatformClient, batch: Vec<Waiter>) {
-    let mut left = answer_doubled(batch);
+/// Writes a batch. A conflict fails the whole transaction, so the conflicting claims are
+/// rejected and the rest is written again.
+async fn write_batch(platform: PlatformClient, batch: Vec<QueuedClaim>) {
+    let mut left = reject_duplicates(batch);
     while !left.is_empty() {
         let transaction = claims_transaction(&left);
         match platform.commit(&transaction).await {
-            Ok(()) => return answer(left, &Ok(())),
+            Ok(()) => return reply_all(left, &Ok(())),
             Err(StoreError::Conflict(conflicts)) => {
                 for conflict in conflicts {
                     let at = left.iter().position(|(claim, _)| claim.record_key() == conflict.key);
                     if let Some(at) = at {
-                        let (claim, tell) = left.swap_remove(at);
-                        let _ = tell.send(verdict(&claim, conflict.found.as_ref()));
+                        let (claim, reply) = left.swap_remove(at);
+                        let _ = reply.send(claim_result(&claim, conflict.found.as_ref()));
                     }
                 }
             }
             Err(StoreError::Unsettled(_)) => return read_back(&platform, left).await,
-            Err(_) => return answer(left, &Err(ClaimError::Unavailable)),
+            Err(_) => return reply_all(left, &Err(ClaimError::Unavailable)),
         }
     }
 }
 
-/// Two claims of one key in one batch: the first goes on, the others are taken.
-fn answer_doubled(batch: Vec<Waiter>) -> Vec<Waiter> {
-    let mut kept: Vec<Waiter> = Vec::with_capacity(batch.len());
-    for (claim, tell) in batch {
+/// Keeps the first claim of each key in a batch and rejects the others.
+fn reject_duplicates(batch: Vec<QueuedClaim>) -> Vec<QueuedClaim> {
+    let mut kept: Vec<QueuedClaim> = Vec::with_capacity(batch.len());
+    for (claim, reply) in batch {
         let key = claim.record_key();
         match kept.iter().find(|(other, _)| other.record_key() == key) {
             Some((first, _)) => {
-                let _ = tell.send(Err(ClaimError::Taken(first.request)));
+                let _ = reply.send(Err(ClaimError::Taken(first.request)));
             }
-            None => kept.push((claim, tell)),
+            None => kept.push((claim, reply)),
         }
     }
     kept
 }
 
-fn claims_transaction(claims: &[Waiter]) -> Transaction {
+fn claims_transaction(claims: &[QueuedClaim]) -> Transaction {
     let mut transaction = Transaction::default();
     for (claim, _) in claims {
         let key = claim.record_key();
@@ -186,18 +184,18 @@
     transaction
 }
 
-async fn read_back(platform: &PlatformClient, claims: Vec<Waiter>) {
-    for (claim, tell) in claims {
+async fn read_back(platform: &PlatformClient, claims: Vec<QueuedClaim>) {
+    for (claim, reply) in claims {
         let outcome = match platform.read(&claim.record_key()).await {
-            Ok(Some(record)) => verdict(&claim, Some(&record)),
-            // Not there yet may mean not there ever, or still on its way.
+            Ok(Some(record)) => claim_result(&claim, Some(&record)),
+            // The write may have failed or may still be in progress.
             Ok(None) | Err(_) => Err(ClaimError::Unavailable),
         };
-        let _ = tell.send(outcome);
+        let _ = reply.send(outcome);
     }
 }
 
-fn verdict(claim: &PendingClaim, found: Option<&Record>) -> Result<(), ClaimError> {
+fn claim_result(claim: &PendingClaim, found: Option<&Record>) -> Result<(), ClaimError> {
     match found.and_then(holder) {
         Some(request) if request == claim.request => Ok(()),
         Some(request) => Err(ClaimError::Taken(request)),
@@ -210,8 +208,8 @@
     Some(value.request)
 }
 
-fn answer(claims: Vec<Waiter>, outcome: &Result<(), ClaimError>) {
-    for (_, tell) in claims {
-        let _ = tell.send(outcome.clone());
+fn reply_all(claims: Vec<QueuedClaim>, outcome: &Result<(), ClaimError>) {
+    for (_, reply) in claims {
+        let _ = reply.send(outcome.clone());
     }
 }
--- a/crates/coordination/src/clock.rs
+++ b/crates/coordination/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that a process hands to its decision code.
+//! The clock of a process.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -10,46 +10,47 @@
 use rustix::time::clock_gettime;
 use stallhoist_core::MonoTime;
 
-/// A monotonic clock that counts from the start of the process, and goes on while the host is suspended.
-/// The only place where decision code's time comes from.
+/// A monotonic clock that starts with the process and includes the time while the host is
+/// suspended. All decision code gets its time from it.
 ///
-/// The system's steady clock stands still meanwhile. By that one each copy, lease, session and
-/// deadline was as fresh after a suspension as before it.
+/// [`Instant`] does not advance during a suspension, so with it cached state, leases, sessions
+/// and deadlines would not expire.
 #[derive(Debug, Clone)]
 pub struct ProcessClock {
-    /// On the clock that counts suspensions.
+    /// The start by the boot-time clock, which includes suspensions.
     started: Duration,
-    /// On the steady clock.
-    started_steady: Instant,
+    /// The start by the clock that excludes suspensions.
+    started_instant: Instant,
     suspensions: SimulatedSuspensions,
 }
 
 impl ProcessClock {
-    /// A clock that starts now.
+    /// Starts a clock.
     pub fn start() -> Self {
         Self::start_with(SimulatedSuspensions::default())
     }
 
-    /// The same, with suspensions that are only played.
+    /// Starts a clock that adds simulated suspensions.
     pub fn start_with(suspensions: SimulatedSuspensions) -> Self {
-        Self { started: time_since_boot(), started_steady: Instant::now(), suspensions }
+        Self { started: time_since_boot(), started_instant: Instant::now(), suspensions }
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> MonoTime {
         MonoTime::default().after(self.elapsed())
     }
 
-    /// A point of this clock as an instant of the steady one, to sleep until. A suspension before that
-    /// puts it off by as much.
+    /// Converts a time of this clock to an [`Instant`], for timers. A suspension delays that instant
+    /// by its duration.
     pub fn instant(&self, time: MonoTime) -> Instant {
         Instant::now() + time.since(self.now())
     }
 
-    /// How long the host has been suspended in all since the process started.
+    /// The total time for which the host was suspended since the process started.
     pub fn suspended(&self) -> Duration {
-        // The steady clock first: what passes between the two readings is no suspension.
-        let steady = self.started_steady.elapsed();
+        // This clock is read first, so that the time between the two readings does not count as a
+        // suspension.
+        let steady = self.started_instant.elapsed();
         self.elapsed().saturating_sub(steady)
     }
 
@@ -59,16 +60,16 @@
     }
 }
 
-/// Suspensions that are only played, for tests: all that reads the clock sees them.
+/// Simulated suspensions of a clock, for tests.
 #[derive(Debug, Clone, Default)]
 pub struct SimulatedSuspensions {
     micros: Arc<AtomicU64>,
 }
 
 impl SimulatedSuspensions {
-    /// The host is suspended for so long, now.
-    pub fn add(&self, gap: Duration) {
-        let micros = u64::try_from(gap.as_micros()).unwrap_or(u64::MAX);
+    /// Simulates a suspension now.
+    pub fn add(&self, duration: Duration) {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         self.micros.fetch_add(micros, Ordering::SeqCst);
     }
 
--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -1,10 +1,10 @@
 //! Leases with fencing tokens.
 //!
-//! A lease is a record `leases/<name>` with its holder, a fencing token and the time
-//! it lasts. Clocks of hosts are not compared: who finds a lease held by another
-//! watches it for its whole length on its own clock, and takes it over only if it was
-//! not renewed meanwhile. The token grows with each holder, so that orders of one that
-//! was paused past its lease are refused by whoever has seen a higher token.
+//! A lease is a record `leases/<name>` with its holder, a fencing token and its duration.
+//! Clocks of hosts are not compared. A process that finds the lease held by another observes
+//! it for its whole duration on its own clock, and takes it over only if it was not renewed
+//! meanwhile. The token increases with each holder, so that commands of a process that was
+//! paused past the end of its lease are rejected by receivers that know a higher token.
 
 use std::time::Duration;
 
@@ -22,16 +22,16 @@
 use stallhoist_platform::StoreError;
 use stallhoist_platform::Transaction;
 
-const PREFIX: &str = "leases/";
+const KEY_PREFIX: &str = "leases/";
 
 /// Why a lease is not held.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum LeaseError {
     /// another process holds the lease
     HeldByAnother,
-    /// the store does not answer
+    /// the store does not respond
     Store(#[from] StoreError),
-    /// the lease's record is not one
+    /// the record is not a valid lease
     Malformed,
 }
 
@@ -42,56 +42,61 @@
     lasts_ms: u64,
 }
 
-/// A lease as its holder knows it.
+/// A lease at its holder.
 #[derive(Debug, Clone)]
 pub struct Lease {
-    /// What is leased.
+    /// The name of the lease.
     pub name: String,
-    /// The token that goes with each order.
+    /// The fencing token, to be sent with each command.
     pub token: FencingToken,
-    /// Until when the holder may act, by its own clock.
+    /// The end of the lease, by the holder's clock.
     pub until: MonoTime,
 }
 
 impl Lease {
-    /// Whether the holder may still act. A holder that was paused finds out here, and
-    /// whoever receives its orders finds out by the token.
+    /// Whether the holder may still act. A paused holder detects the end of its lease here;
+    /// receivers of its commands detect it by the token.
     pub fn is_valid(&self, now: MonoTime) -> bool {
         now < self.until
     }
 }
 
-/// A lease of another, being watched.
+/// A lease of another process, under observation.
 #[derive(Debug, Clone)]
-struct Watched {
+struct ObservedLease {
     version: RecordVersion,
     since: MonoTime,
 }
 
-/// Takes and renews one process's part in one lease.
+/// Acquires and renews one lease for one process.
 #[derive(Debug)]
 pub struct LeaseClient {
     platform: PlatformClient,
     me: IncarnationId,
     name: String,
-    lasts: Duration,
-    watched: Option<Watched>,
+    duration: Duration,
+    observed: Option<ObservedLease>,
 }
 
 impl LeaseClient {
-    /// A part in the lease `name`, which lasts `lasts` after each renewal.
-    pub fn new(platform: PlatformClient, me: IncarnationId, name: &str, lasts: Duration) -> Self {
-        Self { platform, me, name: name.to_owned(), lasts, watched: None }
+    /// Creates a client of the lease `name`, which is valid for `duration` after each renewal.
+    pub fn new(
+        platform: PlatformClient,
+        me: IncarnationId,
+        name: &str,
+        duration: Duration,
+    ) -> Self {
+        Self { platform, me, name: name.to_owned(), duration, observed: None }
     }
 
-    /// Takes the lease, renews it, or watches its holder. `now` must be read before the
-    /// call, so that the time it takes counts against the lease.
+    /// Acquires or renews the lease, or observes its holder. `now` must be read before the call,
+    /// so that the duration of the call counts against the lease.
     ///
     /// # Errors
-    /// Fails while another holds it and when the store does not answer. After an
-    /// unsettled write the lease counts as not held; the next call finds out.
+    /// Fails while another process holds the lease and if the store does not respond. After a write
+    /// with an unknown outcome the lease counts as not held; the next call determines the holder.
     pub async fn acquire(&mut self, now: MonoTime) -> Result<Lease, LeaseError> {
-        let key = format!("{PREFIX}{}", self.name);
+        let key = format!("{KEY_PREFIX}{}", self.name);
         let record = self.platform.read(&key).await?;
         let (expect, token) = match &record {
             None => (Expectation::Absent, FencingToken(1)),
@@ -99,7 +104,7 @@
                 let value: LeaseValue = serde_json::from_value(record.value.clone())
                     .map_err(|_| LeaseError::Malformed)?;
                 let is_mine = value.holder == self.me;
-                if !is_mine && !self.has_lapsed(now, record.version, value.lasts_ms) {
+                if !is_mine && !self.has_expired(now, record.version, value.lasts_ms) {
                     return Err(LeaseError::HeldByAnother);
                 }
                 let token = if is_mine { value.token } else { value.token.next() };
@@ -107,18 +112,18 @@
             }
         };
         self.write(key, expect, token).await?;
-        self.watched = None;
-        let until = now.after(self.lasts);
+        self.observed = None;
+        let until = now.after(self.duration);
         Ok(Lease { name: self.name.clone(), token, until })
     }
 
-    fn has_lapsed(&mut self, now: MonoTime, version: RecordVersion, lasts_ms: u64) -> bool {
-        match &self.watched {
-            Some(watched) if watched.version == version => {
-                now.since(watched.since) > Duration::from_millis(lasts_ms)
+    fn has_expired(&mut self, now: MonoTime, version: RecordVersion, lasts_ms: u64) -> bool {
+        match &self.observed {
+            Some(observed) if observed.version == version => {
+                now.since(observed.since) > Duration::from_millis(lasts_ms)
             }
             _ => {
-                self.watched = Some(Watched { version, since: now });
+                self.observed = Some(ObservedLease { version, since: now });
                 false
             }
         }
@@ -130,7 +135,7 @@
         expect: Expectation,
         token: FencingToken,
     ) -> Result<(), LeaseError> {
-        let lasts_ms = u64::try_from(self.lasts.as_millis()).unwrap_or(u64::MAX);
+        let lasts_ms = u64::try_from(self.duration.as_millis()).unwrap_or(u64::MAX);
         let value = LeaseValue { holder: self.me, token, lasts_ms };
         let value = serde_json::to_value(value).expect("a lease is plain data");
         let transaction = Transaction {
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,9 +1,9 @@
-//! What processes must agree on or keep: the table, claims, the bill and leases.
+//! State that processes agree on or must not lose: the table, claims, the ledger and leases.
 //!
-//! This crate exists so that each such matter has one owner that says what is kept
-//! where, what a lost reply means and what happens when the store is away. Nothing
-//! here elects or replicates: agreement comes from the platform's transactions, and
-//! what is only held in memory is held by several processes until the store has it.
+//! Each kind of state has one module, which defines where it is stored, how a lost reply of
+//! the store is handled and what happens while the store is unavailable. Nothing here elects
+//! leaders or replicates: agreement comes from the transactions of the platform's store, and
+//! state that is only in memory is held by several processes until the store has it.
 
 mod active_table;
 mod attempts;
--- a/crates/coordination/src/suspension_detector.rs
+++ b/crates/coordination/src/suspension_detector.rs
@@ -1,25 +1,26 @@
-//! Noticing that the host was suspended.
+//! Detection of host suspensions.
 
 use std::time::Duration;
 
-/// A gap of so long counts as a suspension. The two clocks are not read at the same moment, and a
-/// process that waits for the processor in between sees a small one.
-const SHORTEST: Duration = Duration::from_millis(300);
+/// The shortest difference that counts as a suspension. The two clocks are not read at the same
+/// moment, so a process that waits for the CPU in between sees a small difference.
+const MIN_SUSPENSION: Duration = Duration::from_millis(300);
 
-/// Notices that the host was suspended.
+/// Detects suspensions from readings of [`ProcessClock::suspended`](crate::ProcessClock::suspended).
 #[derive(Debug, Default)]
 pub struct SuspensionDetector {
-    known: Duration,
+    reported_total: Duration,
 }
 
 impl SuspensionDetector {
-    /// The host has been suspended for so long in all. Gives the time of a suspension since the last call.
+    /// Records the total time of suspensions. Returns the duration of a suspension since the last
+    /// call, if there was one.
     pub fn observe(&mut self, suspended: Duration) -> Option<Duration> {
-        let gap = suspended.saturating_sub(self.known);
-        if gap < SHORTEST {
+        let suspension = suspended.saturating_sub(self.reported_total);
+        if suspension < MIN_SUSPENSION {
             return None;
         }
-        self.known = suspended;
-        Some(gap)
+        self.reported_total = suspended;
+        Some(suspension)
     }
 }
--- a/crates/coordination/src/table_store.rs
+++ b/crates/coordination/src/table_store.rs
@@ -1,9 +1,9 @@
 //! The table in the platform's store.
 //!
-//! Three kinds of record: `table/head` (revision and edit, small, polled),
-//! `table/snapshot` (the whole table), `table/log/<revision>` (the history), and
-//! `table/edits/<id>` (which revision an edit made). One transaction writes all
-//! four, on the condition that the head is as it was read and the edit is not there.
+//! The records are `table/head` (revision and edit id; small, polled), `table/snapshot` (the
+//! whole table), `table/log/<revision>` (the history) and `table/edits/<id>` (the revision that
+//! an edit created). One transaction writes all four, on the condition that the head has not
+//! changed since it was read and the edit id does not exist.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -30,31 +30,31 @@
 const SNAPSHOT_KEY: &str = "table/snapshot";
 const LOG_PREFIX: &str = "table/log/";
 const EDIT_PREFIX: &str = "table/edits/";
-const MAX_COMMIT_TRIES: usize = 20;
-const SETTLE_PAUSE: Duration = Duration::from_millis(100);
+const MAX_COMMIT_ATTEMPTS: usize = 20;
+const SETTLE_READ_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_LOG_PAGE: usize = 500;
 
 /// Why an edit was not accepted.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum CommitError {
-    /// the edit does not apply: {0}
+    /// the edit cannot be applied: {0}
     Edit(EditError),
-    /// the store did not say whether the edit was written: ask again with the same edit id
+    /// the store did not confirm whether the edit was written: retry with the same edit id
     Unsettled,
     /// the store cannot be reached; nothing was written
     Unavailable(#[source] StoreError),
-    /// a record of the table is not what this version writes: {0}
+    /// malformed table record: {0}
     Malformed(String),
-    /// too many others edit at the same time; nothing was written
+    /// too many concurrent edits; nothing was written
     Contended,
 }
 
-/// The newest revision, as the store has it.
+/// The newest revision in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableHead {
     /// The revision.
     pub revision: Revision,
-    /// The edit that made it.
+    /// The edit that created it.
     pub edit: EditId,
 }
 
@@ -65,24 +65,24 @@
 }
 
 impl TableStore {
-    /// The table in this platform's store.
+    /// Creates a client of the table in the platform's store.
     pub fn new(platform: PlatformClient) -> Self {
         Self { platform }
     }
 
-    /// Reads the newest revision; none when there was no edit yet.
+    /// Reads the newest revision; none before the first edit.
     ///
     /// # Errors
-    /// Fails when the store does not answer.
+    /// Fails if the store does not respond or the record is malformed.
     pub async fn head(&self) -> Result<Option<TableHead>, CommitError> {
         let record = self.read(HEAD_KEY).await?;
         record.map(|record| decode(&record)).transpose()
     }
 
-    /// Reads the whole table; an empty one when there was no edit yet.
+    /// Reads the whole table; an empty one before the first edit.
     ///
     /// # Errors
-    /// Fails when the store does not answer.
+    /// Fails if the store does not respond or the record is malformed.
     pub async fn table(&self) -> Result<Table, CommitError> {
         match self.read(SNAPSHOT_KEY).await? {
             Some(record) => decode(&record),
@@ -93,7 +93,7 @@
     /// Reads the edits after a revision, oldest first, at most 500.
     ///
     /// # Errors
-    /// Fails when the store does not answer.
+    /// Fails if the store does not respond or a record is malformed.
     pub async fn history(&self, after: Revision) -> Result<Vec<LogEntry>, CommitError> {
         let after = log_key(after);
         let page = self.platform.list(LOG_PREFIX, &after, MAX_LOG_PAGE).await;
@@ -101,15 +101,14 @@
         page.records.iter().map(decode).collect()
     }
 
-    /// Commits an edit and gives its place in the history. Edits of other cells that
-    /// were committed meanwhile stay; an edit whose id is in the store already is not
-    /// written again.
+    /// Commits an edit and returns its log entry. Concurrent edits of other cells are kept. An edit
+    /// whose id is in the store already is not written again.
     ///
     /// # Errors
-    /// Fails when the edit conflicts or is invalid, or the store does not answer. Only
-    /// [`CommitError::Unsettled`] leaves open whether it was written.
+    /// Fails if the edit conflicts or is invalid, or the store does not respond. Only after
+    /// [`CommitError::Unsettled`] is it unknown whether the edit was written.
     pub async fn commit(&self, edit: &Edit) -> Result<LogEntry, CommitError> {
-        for _ in 0..MAX_COMMIT_TRIES {
+        for _ in 0..MAX_COMMIT_ATTEMPTS {
             if let Some(entry) = self.find(edit.id).await? {
                 return Ok(entry);
             }
@@ -124,19 +123,19 @@
             let transaction = transaction(head.as_ref(), &next, &entry);
             match self.platform.commit(&transaction).await {
                 Ok(()) => return Ok(entry),
-                // Somebody else was first, or our own lost write was.
+                // Another edit was committed first, or an earlier try of this one.
                 Err(StoreError::Conflict(_)) => {}
-                Err(StoreError::Unsettled(_)) => return self.settle(edit.id).await,
+                Err(StoreError::Unsettled(_)) => return self.resolve_unsettled(edit.id).await,
                 Err(error) => return Err(CommitError::Unavailable(error)),
             }
         }
         Err(CommitError::Contended)
     }
 
-    /// The place in the history of an edit that is in the store.
+    /// The log entry of an edit; none if the edit is not in the store.
     ///
     /// # Errors
-    /// Fails when the store does not answer.
+    /// Fails if the store does not respond or a record is malformed.
     pub async fn find(&self, edit: EditId) -> Result<Option<LogEntry>, CommitError> {
         let Some(record) = self.read(&edit_key(edit)).await? else {
             return Ok(None);
@@ -146,15 +145,15 @@
         entry.map(|record| decode(&record)).transpose()
     }
 
-    /// After a lost reply: the write either is in the store or is not, but it may be
-    /// still on its way, so "not there" is believed of no single read.
-    async fn settle(&self, edit: EditId) -> Result<LogEntry, CommitError> {
-        const READS: usize = 5;
-        for _ in 0..READS {
+    /// Determines the outcome of a write whose reply was lost. The write may still be in progress,
+    /// so the edit counts as missing only after several reads.
+    async fn resolve_unsettled(&self, edit: EditId) -> Result<LogEntry, CommitError> {
+        const SETTLE_READS: usize = 5;
+        for _ in 0..SETTLE_READS {
             if let Ok(Some(entry)) = self.find(edit).await {
                 return Ok(entry);
             }
-            tokio::time::sleep(SETTLE_PAUSE).await;
+            tokio::time::sleep(SETTLE_READ_INTERVAL).await;
         }
         Err(CommitError::Unsettled)
     }
@@ -165,7 +164,7 @@
 }
 
 fn transaction(head: Option<&Record>, next: &Table, entry: &LogEntry) -> Transaction {
-    let head_is = match head {
+    let head_expectation = match head {
         Some(record) => Expectation::Version(record.version),
         None => Expectation::Absent,
     };
@@ -173,7 +172,7 @@
     let new_head = TableHead { revision: entry.revision, edit: entry.edit.id };
     Transaction {
         conditions: vec![
-            Condition { key: HEAD_KEY.to_owned(), expect: head_is },
+            Condition { key: HEAD_KEY.to_owned(), expect: head_expectation },
             Condition { key: edit_key.clone(), expect: Expectation::Absent },
         ],
         puts: vec![
@@ -192,7 +191,7 @@
 }
 
 fn log_key(revision: Revision) -> String {
-    // Twenty digits, so that the order of keys is the order of revisions.
+    // 20 digits, so that keys sort by revision.
     format!("{LOG_PREFIX}{:020}", revision.0)
 }
 
--- a/crates/coordination/src/table_sync.rs
+++ b/crates/coordination/src/table_sync.rs
@@ -1,4 +1,4 @@
-//! Two connected processes bring each other up to the newer table.
+//! Synchronisation of the table between two connected processes.
 
 use stallhoist_core::Revision;
 use stallhoist_wire::FrameSender;
@@ -8,7 +8,7 @@
 use crate::ActiveTable;
 
 impl ActiveTable {
-    /// A peer has said which revision it holds: whoever is behind gets the table.
+    /// Compares the revision of a peer with the active one: requests or sends a snapshot.
     pub fn sync_with_peer(&self, peer: &FrameSender, theirs: Revision) {
         let ours = self.revision();
         if theirs > ours {
@@ -18,14 +18,14 @@
         }
     }
 
-    /// Sends the whole table in force, if there is one.
+    /// Sends a snapshot of the active table, if there is one.
     pub fn send_snapshot(&self, to: &FrameSender) {
         if let Some(table) = self.current() {
             to.send_or_close(table_to_wire(&table));
         }
     }
 
-    /// Asks a peer for the whole table.
+    /// Requests a snapshot from a peer.
     pub fn request_snapshot(&self, from: &FrameSender) {
         from.send_or_close(table_pull(self.revision()));
     }
--- a/crates/coordination/src/unsettled_bills.rs
+++ b/crates/coordination/src/unsettled_bills.rs
@@ -1,4 +1,4 @@
-//! Bill records that a process holds until the ledger has them.
+//! Bill records that are not yet settled in the ledger.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,14 +14,14 @@
     since: MonoTime,
 }
 
-/// Bill records that a process holds until the ledger has them.
+/// Bill records that a process holds until they are settled in the ledger.
 #[derive(Debug, Default)]
 pub struct UnsettledBills {
     by_request: BTreeMap<RequestId, Held>,
 }
 
 impl UnsettledBills {
-    /// Holds a record. Of two records of one request the later attempt's is held.
+    /// Adds a record. Of several records of a request, only that of the latest attempt is held.
     pub fn hold(&mut self, now: MonoTime, record: BillRecord) {
         let held = self.by_request.get(&record.request);
         let is_older = held.is_some_and(|h| h.record.attempt_number > record.attempt_number);
@@ -30,8 +30,8 @@
         }
     }
 
-    /// The ledger has the records of these attempts. A later attempt's record that came
-    /// meanwhile stays: the ledger has not got that one.
+    /// Removes the records of these attempts, which the ledger has. The record of a later attempt
+    /// that was added meanwhile stays, as the ledger does not have it.
     pub fn settle<'a>(&mut self, attempts: impl IntoIterator<Item = &'a AttemptId>) {
         for attempt in attempts {
             let held = self.by_request.get(&attempt.request);
@@ -41,13 +41,13 @@
         }
     }
 
-    /// Whether a record of this request is held.
+    /// Whether a record of a request is held.
     pub fn holds(&self, request: &RequestId) -> bool {
         self.by_request.contains_key(request)
     }
 
-    /// Up to `limit` records that have been held for at least `age`, oldest first. They
-    /// stay held, and count as held from now on.
+    /// Up to `limit` records that have been held for at least `age`, oldest request first. They stay
+    /// held, and their age restarts.
     pub fn older_than(&mut self, now: MonoTime, age: Duration, limit: usize) -> Vec<BillRecord> {
         let is_old = |held: &&mut Held| now.since(held.since) >= age;
         let old = self.by_request.values_mut().filter(is_old).take(limit);
@@ -58,17 +58,17 @@
         .collect()
     }
 
-    /// Up to `limit` records, oldest first.
+    /// Up to `limit` records, oldest request first.
     pub fn oldest(&self, limit: usize) -> Vec<BillRecord> {
         self.by_request.values().take(limit).map(|held| held.record.clone()).collect()
     }
 
-    /// How many are held.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.by_request.len()
     }
 
-    /// Whether none is.
+    /// Whether no record is held.
     pub fn is_empty(&self) -> bool {
         self.by_request.is_empty()
     }
--- a/tests/all/unsettled_bills.rs
+++ b/tests/all/unsettled_bills.rs
@@ -1,4 +1,4 @@
-//! Bill records while they are held.
+//! Bill records that are not yet settled.
 
 use stallhoist_coordination::UnsettledBills;
 use stallhoist_core::AttemptId;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_later_attempts_record_is_held() {
+fn only_the_latest_attempts_record_is_held() {
     for order in [[1, 2], [2, 1]] {
         let mut held = UnsettledBills::default();
         let request = RequestId::from_u128(7);
@@ -36,9 +36,9 @@
     }
 }
 
-// The first attempt's record was on its way to the ledger when the second's came.
+// The first attempt's record was being written to the ledger when the second's was added.
 #[test]
-fn settling_an_earlier_attempt_leaves_the_later_ones_record() {
+fn settling_an_earlier_attempt_keeps_the_later_record() {
     let mut held = UnsettledBills::default();
     let request = RequestId::from_u128(7);
     held.hold(MonoTime::default(), record(request, 1));
