--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -243,7 +243,7 @@
     }
 
     /// What is known of the end of the roll-out.
-    pub(super) fn verdict(&self) -> Option<RolloutDecision> {
+    pub(super) fn decision(&self) -> Option<RolloutDecision> {
         let order = self.known.order()?;
         let outcome = if self.is_completed() {
             RolloutOutcome::Completed
@@ -257,18 +257,18 @@
     }
 
     /// Another entry knows how the roll-out ends.
-    pub(super) fn apply_peer_update(&mut self, verdict: &RolloutDecision) {
-        if !self.is_of_order(verdict.order_version) {
+    pub(super) fn apply_peer_update(&mut self, decision: &RolloutDecision) {
+        if !self.is_of_order(decision.order_version) {
             return;
         }
-        match verdict.outcome {
+        match decision.outcome {
             RolloutOutcome::Completed if !self.is_completed() => {
                 self.is_told_completed = true;
-                log::info!(service:% = verdict.service; "another entry has read that it is completed");
+                log::info!(service:% = decision.service; "another entry has read that it is completed");
             }
             RolloutOutcome::Bad if self.is_running() && !self.is_found_bad => {
                 self.is_found_bad = true;
-                log::warn!(service:% = verdict.service; "another entry has found the new version bad");
+                log::warn!(service:% = decision.service; "another entry has found the new version bad");
             }
             RolloutOutcome::Bad | RolloutOutcome::Completed => {}
         }
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -10,7 +10,7 @@
 use stallhoist_core::StoreEra;
 use stallhoist_core::StoreVersion;
 use stallhoist_core::VersionName;
-use stallhoist_policy::rollout::EvidenceStanding;
+use stallhoist_policy::rollout::EvidenceStatus;
 use stallhoist_policy::rollout::EvidenceTotals;
 use stallhoist_policy::rollout::Observation;
 use stallhoist_policy::rollout::RequestKind;
@@ -132,12 +132,12 @@
 
     /// How near the evidence of each roll-out under way is to a verdict, and how many other
     /// entries have told theirs.
-    pub fn standings(&self) -> Vec<(ServiceName, EvidenceStanding, usize)> {
+    pub fn statuses(&self) -> Vec<(ServiceName, EvidenceStatus, usize)> {
         let running = self.services.iter().filter(|(_, rollout)| rollout.is_running());
-        let standing = |(service, rollout): (&ServiceName, &ServiceRollout)| {
-            (service.clone(), rollout.evidence.standing(), rollout.peers.len())
+        let status = |(service, rollout): (&ServiceName, &ServiceRollout)| {
+            (service.clone(), rollout.evidence.status(), rollout.peers.len())
         };
-        running.map(standing).collect()
+        running.map(status).collect()
     }
 
     /// The services of which a part of the sessions is sent to a new version: the service,
@@ -186,16 +186,16 @@
     /// What this entry knows of the ends of roll-outs: versions found bad, by its own evidence
     /// or by others, that are not recorded yet, and orders that are completed.
     pub fn decisions(&self) -> Vec<RolloutDecision> {
-        self.services.values().filter_map(ServiceRollout::verdict).collect()
+        self.services.values().filter_map(ServiceRollout::decision).collect()
     }
 
     /// Another entry knows how a roll-out ends. A bad version is bad here too: an entry that
     /// started after the evidence was seen would complete the roll-out. That it is completed
     /// counts for an entry that does not reach the store: it would go on sending requests to
     /// the old version, which is gone.
-    pub fn apply_peer_update(&mut self, verdict: &RolloutDecision) {
-        if let Some(rollout) = self.services.get_mut(&verdict.service) {
-            rollout.apply_peer_update(verdict);
+    pub fn apply_peer_update(&mut self, decision: &RolloutDecision) {
+        if let Some(rollout) = self.services.get_mut(&decision.service) {
+            rollout.apply_peer_update(decision);
         }
     }
 
--- a/crates/gateway/src/rollouts/watch.rs
+++ b/crates/gateway/src/rollouts/watch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use stallhoist_core::ServiceName;
-use stallhoist_policy::rollout::EvidenceStanding;
+use stallhoist_policy::rollout::EvidenceStatus;
 use stallhoist_policy::rollout::VersionCounts;
 
 use crate::metrics::EvidenceLabels;
@@ -20,38 +20,38 @@
 pub(crate) async fn watch(state: Arc<GatewayState>) {
     loop {
         tokio::time::sleep(SHOW_EVERY).await;
-        let standings = state.rollouts.lock().standings();
-        for (service, standing, entries_told) in &standings {
-            measure(&state.metrics, service, standing);
-            show(service, standing, *entries_told);
+        let statuses = state.rollouts.lock().statuses();
+        for (service, status, entries_told) in &statuses {
+            measure(&state.metrics, service, status);
+            show(service, status, *entries_told);
         }
     }
 }
 
-fn measure(metrics: &Metrics, service: &ServiceName, standing: &EvidenceStanding) {
-    for (test, strength) in &standing.strengths {
+fn measure(metrics: &Metrics, service: &ServiceName, status: &EvidenceStatus) {
+    for (test, strength) in &status.strengths {
         let labels = EvidenceLabels { service: service.to_string(), test: format!("{test:?}") };
         metrics.rollout_evidence.get_or_create(&labels).set(*strength);
     }
-    let loads = [(RolloutSide::Old, standing.old_load), (RolloutSide::New, standing.new_load)];
+    let loads = [(RolloutSide::Old, status.old_load), (RolloutSide::New, status.new_load)];
     for (side, load) in loads {
         let labels = LoadLabels { service: service.to_string(), side };
         metrics.rollout_load.get_or_create(&labels).set(load.requests());
     }
 }
 
-fn show(service: &ServiceName, standing: &EvidenceStanding, entries_told: usize) {
+fn show(service: &ServiceName, status: &EvidenceStatus, entries_told: usize) {
     let strengths: Vec<_> =
-        standing.strengths.iter().map(|(test, value)| format!("{test:?} {value:.1}")).collect();
+        status.strengths.iter().map(|(test, value)| format!("{test:?} {value:.1}")).collect();
     log::info!(
         service:% = service,
         strengths = strengths.join(", "),
-        needed = format!("{:.1}", standing.needed_strength),
-        old = counts(standing.all.old),
-        new = counts(standing.all.new),
-        own_new = counts(standing.own.new),
-        old_load = format!("{:.1}", standing.old_load.requests()),
-        new_load = format!("{:.1}", standing.new_load.requests()),
+        needed = format!("{:.1}", status.needed_strength),
+        old = counts(status.all.old),
+        new = counts(status.all.new),
+        own_new = counts(status.own.new),
+        old_load = format!("{:.1}", status.old_load.requests()),
+        new_load = format!("{:.1}", status.new_load.requests()),
         entries_told;
         "evidence of the roll-out"
     );
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::BaselineLatency;
-use super::EvidenceStanding;
+use super::EvidenceStatus;
 use super::EvidenceTest;
 use super::EvidenceTotals;
 use super::LatencyBaseline;
@@ -116,9 +116,9 @@
     }
 
     /// How near the evidence is to a verdict.
-    pub fn standing(&self) -> EvidenceStanding {
+    pub fn status(&self) -> EvidenceStatus {
         let strengths = self.tests().map(|(test, comparison)| (test, comparison.strength()));
-        EvidenceStanding {
+        EvidenceStatus {
             own: self.own,
             all: self.all,
             strengths: strengths.to_vec(),
--- a/crates/policy/src/rollout/standing.rs
+++ b/crates/policy/src/rollout/evidence_status.rs
@@ -35,7 +35,7 @@
 /// How near the evidence is to a verdict: what an operator needs to tell a version that is
 /// as good as the old one from one that is not yet, or cannot be, found worse.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EvidenceStanding {
+pub struct EvidenceStatus {
     /// Counted by this entry.
     pub own: EvidenceTotals,
     /// Counted by all entries, as far as they told.
--- a/tests/all/decisions/rollout_times.rs
+++ b/tests/all/decisions/rollout_times.rs
@@ -152,7 +152,7 @@
     for _ in 0..15 {
         evidence.new_version(&PACE, 1, Observation::Paced(3 * pause(1)));
     }
-    assert!(evidence.is_bad(), "{:?}", evidence.standing());
+    assert!(evidence.is_bad(), "{:?}", evidence.status());
 }
 
 // Seen when everything had moved over: the new version had all the load, the old one none.
@@ -165,7 +165,7 @@
     for load in (0..400).map(|n| 1 + n % 90) {
         evidence.new_version(&PACE, load, Observation::Paced(pause(load)));
     }
-    assert!(!evidence.is_bad(), "{:?}", evidence.standing());
+    assert!(!evidence.is_bad(), "{:?}", evidence.status());
 }
 
 // An order may come in the middle of a burst: what was known before it is what shows the
@@ -177,7 +177,7 @@
     for _ in 0..15 {
         evidence.new_version(&PACE, 1, Observation::Paced(3 * pause(1)));
     }
-    assert!(evidence.is_bad(), "{:?}", evidence.standing());
+    assert!(evidence.is_bad(), "{:?}", evidence.status());
 }
 
 /// A burst from an entry's first second on: the old version is seen at 40 requests in progress
@@ -203,13 +203,13 @@
 #[test]
 fn a_slow_version_is_found_though_the_old_one_was_never_seen_idle() {
     let evidence = beside_a_burst_from_the_start(3);
-    assert!(evidence.is_bad(), "{:?}", evidence.standing());
+    assert!(evidence.is_bad(), "{:?}", evidence.status());
 }
 
 #[test]
 fn a_good_version_is_not_called_worse_for_the_control() {
     let evidence = beside_a_burst_from_the_start(1);
-    assert!(!evidence.is_bad(), "{:?}", evidence.standing());
+    assert!(!evidence.is_bad(), "{:?}", evidence.status());
 }
 
 #[test]
