--- a/crates/policy/src/fatal/judgement.rs
+++ b/crates/policy/src/fatal/judgement.rs
@@ -27,7 +27,7 @@
             };
             let count = record.count();
             let is_held = record.standing.held().is_some();
-            let is_concerned = is_held || count >= self.config.ends_until_held;
+            let is_concerned = is_held || count >= self.config.quarantine_threshold;
             if !is_concerned || concerned.insert(request, count).is_some() {
                 continue;
             }
@@ -68,7 +68,7 @@
         };
         let count = record.count();
         let is_open = |upstream| !self.is_explained(request, count, upstream);
-        count >= self.config.ends_until_held && record.counted().any(is_open)
+        count >= self.config.quarantine_threshold && record.counted().any(is_open)
     }
 
     /// Whether another request is known to have ended an upstream: one that is held back, with
--- a/crates/policy/src/fatal/mod.rs
+++ b/crates/policy/src/fatal/mod.rs
@@ -235,12 +235,12 @@
     /// gives way, unless it is held back.
     fn has_room(&mut self, news: &CrashUpdate) -> bool {
         let beside = self.beside.get(&news.upstream).map_or(0, BTreeSet::len);
-        if !news.is_cleared && beside >= self.config.max_beside {
+        if !news.is_cleared && beside >= self.config.max_requests_per_crash {
             return false;
         }
         if let Some(record) = self.records.get(&news.request) {
             let is_known = record.ends().contains_key(&news.upstream);
-            return is_known || record.ends().len() < self.config.max_ends;
+            return is_known || record.ends().len() < self.config.max_crashes_per_request;
         }
         if self.records.len() < self.config.max_requests {
             return true;
@@ -362,8 +362,8 @@
 
     /// What other entries should know that have listened lately.
     pub fn peer_updates(&self, now: MonoTime) -> impl Iterator<Item = CrashUpdate> {
-        let tell_for = self.config.tell_for;
-        self.all_news().filter(move |(end, _)| now.since(end.learnt) < tell_for).map(|(_, n)| n)
+        let publish_for = self.config.publish_for;
+        self.all_news().filter(move |(end, _)| now.since(end.learnt) < publish_for).map(|(_, n)| n)
     }
 
     /// What an entry should know that has just started.
--- a/crates/policy/src/fatal/record.rs
+++ b/crates/policy/src/fatal/record.rs
@@ -91,8 +91,8 @@
         let age = now.since(self.changed);
         self.row.is_none()
             && match self.standing {
-                Standing::Cleared(cleared) => now.since(cleared.since()) >= config.cleared_for,
-                Standing::Suspect(_) => age >= config.suspect_for,
+                Standing::Cleared(cleared) => now.since(cleared.since()) >= config.cleared_ttl,
+                Standing::Suspect(_) => age >= config.suspect_ttl,
                 Standing::HeldBack(_) | Standing::Trying(_) => false,
             }
     }
--- a/crates/policy/src/fatal/standing.rs
+++ b/crates/policy/src/fatal/standing.rs
@@ -61,17 +61,17 @@
 
     /// When it may be tried again; none when it may not be.
     pub(super) fn due(self, config: &FatalConfig) -> Option<MonoTime> {
-        (self.tries < config.max_tries).then(|| self.since.after(config.try_after))
+        (self.tries < config.max_trials).then(|| self.since.after(config.trial_delay))
     }
 
     pub(super) fn begin_trial(self, now: MonoTime, config: &FatalConfig) -> Trying {
         let held = Self { tries: self.tries + 1, ..self };
-        Trying { held, until: now.after(config.try_lasts) }
+        Trying { held, until: now.after(config.trial_timeout) }
     }
 
     /// An upstream has ended under it, when it was tried again: it is never tried again.
     pub(super) fn proved(self, config: &FatalConfig) -> Self {
-        Self { tries: config.max_tries, ..self }
+        Self { tries: config.max_trials, ..self }
     }
 }
 
--- a/tests/all/decisions/fatal.rs
+++ b/tests/all/decisions/fatal.rs
@@ -204,7 +204,7 @@
     );
     let changes = requests.changes(at_ms(5_300), Duration::ZERO);
     let tries = changes[0].1.record.expect("a record").tries;
-    assert_eq!(tries, FatalConfig::default().max_tries);
+    assert_eq!(tries, FatalConfig::default().max_trials);
 }
 
 // The row that counted the try is read after the try has ended an upstream.
--- a/tests/all/gateway/fatal_requests.rs
+++ b/tests/all/gateway/fatal_requests.rs
@@ -128,7 +128,7 @@
 
     /// How often a request is tried again in all.
     fn max_tries(&self) -> u32 {
-        FatalConfig::default().max_tries
+        FatalConfig::default().max_trials
     }
 
     /// Callers ask the same again and again, in turn at all entries, until some time after it has
