--- a/crates/policy/src/fatal/config.rs
+++ b/crates/policy/src/fatal/config.rs
@@ -1,33 +1,35 @@
-//! How ends of upstreams are laid at requests' doors.
+//! Parameters of the attribution of crashes to requests.
 
 use std::time::Duration;
 
-/// How ends of upstreams are laid at requests' doors.
+/// Parameters of the attribution of crashes to requests.
 #[derive(Debug, Clone)]
 pub struct FatalConfig {
-    /// A request under which so many upstreams have ended is held back, unless others explain all
-    /// of these ends. Two would hold back requests that ran twice beside a fatal one by bad luck.
+    /// A request is quarantined after this many crashes, unless other requests explain all of them. A
+    /// threshold of two would quarantine requests that happened to run twice on the same upstream as a
+    /// fatal one.
     pub quarantine_threshold: usize,
-    /// How long after it was held back, or tried last, a request may be tried again. Upstreams that
-    /// ended are back after some seconds, and all entries have heard of it by then.
+    /// Delay before a quarantined request may be sent on trial, counted from the quarantine or the last
+    /// trial. Upstreams that crashed are back after some seconds, and all gateways know of the crash by
+    /// then.
     pub trial_delay: Duration,
-    /// How often it is tried again in all, by all entries: each may cost an upstream.
+    /// The most trials of a request, over all gateways: each may cost an upstream.
     pub max_trials: u32,
-    /// A try that has no outcome after this time is taken for lost with its entry.
+    /// A trial without a result after this time is treated as lost with its gateway.
     pub trial_timeout: Duration,
-    /// For how long others are told of an end after it was learnt: they are told several times in
+    /// How long a crash is published to peers after it was recorded. It is sent several times during
     /// this time, and each message costs bytes.
     pub publish_for: Duration,
-    /// How long ends under a request count that comes again rarely.
+    /// How long the crashes of a request that is rarely repeated count.
     pub suspect_ttl: Duration,
-    /// How long it is remembered that ends do not count any more: others may still tell of them.
+    /// How long cleared crashes are kept: peers may still publish them.
     pub cleared_ttl: Duration,
-    /// The most requests that are remembered, of some 200 bytes each. Only the end of an upstream
-    /// adds one, so it takes the ends of hundreds of upstreams to fill this.
+    /// The most requests that are kept, at about 200 bytes each. Only a crash of an upstream adds
+    /// requests, so filling this takes crashes of hundreds of upstreams.
     pub max_requests: usize,
-    /// The most requests that are remembered for one end.
+    /// The most requests that are kept for one crash.
     pub max_requests_per_crash: usize,
-    /// The most ends that are remembered of one request.
+    /// The most crashes that are kept for one request.
     pub max_crashes_per_request: usize,
 }
 
--- a/crates/policy/src/fatal/mod.rs
+++ b/crates/policy/src/fatal/mod.rs
@@ -1,32 +1,34 @@
-//! Requests that end the upstreams that run them ("queries of death").
+//! Tracks requests that crash the upstreams that run them ("queries of death").
 //!
-//! All requests that run on an upstream break off when it ends, and one of them may have done it.
-//! What is known of a request, and what that proves:
+//! All requests on an upstream break when it crashes, and one of them may be the cause. What is known
+//! of a request and what it proves:
 //!
-//! | evidence | proves | the request is | for how long |
+//! | observation | proves | state of the request | how long |
 //! | --- | --- | --- | --- |
-//! | its answer broke off, the upstream is there | nothing: connections are cut | what it was | |
-//! | the same, and within 6 s it shows that this start has ended, without having said before that it leaves | as if it had shown at once | suspect | as below |
-//! | an upstream has ended while it ran it | one of those that ran there did it | suspect | until a whole answer; a day |
-//! | another one that ran there is held back, with more ends | the other one did it | not to blame for this end | as long as the other is held back |
-//! | three ends, not all of them explained by another | it did it, or ran beside such requests each time | held back | until it is tried again |
-//! | the end of an upstream at which it was tried again | it did it | held back | for good (its row in the store) |
-//! | a whole answer, to any of its tries at any entry | it did not do it | cleared | until the next end |
+//! | its stream broke, the upstream is still there | nothing: connections are cut | unchanged | |
+//! | the same, and within 6 s this incarnation turns out to have terminated without announcing it | same as a crash seen at once | suspect | as below |
+//! | an upstream crashed while it ran the request | one of the requests on it is the cause | suspect | until a complete response; a day |
+//! | another request on it is quarantined, with more crashes | the other request is the cause | this crash does not count against it | while the other is quarantined |
+//! | three crashes, not all explained by another request | it is the cause, or ran with such requests each time | quarantined | until its trial |
+//! | a crash of the upstream that ran its trial | it is the cause | quarantined | permanently (stored row) |
+//! | a complete response to any attempt at any gateway | it is not the cause | cleared | until the next crash |
 //!
-//! Suspects go on being sent, as those that ran beside a fatal request have done nothing: each to
-//! the upstream that a hash of it names. So those that broke off together part, and the next end tells
-//! the fatal one from the others; and all entries that try the same one at the same moment lose
-//! one upstream by it and not one each.
+//! Suspects are still sent, as requests that merely ran together with a fatal one are harmless. Each
+//! goes to the upstream chosen by a hash of the request. So requests that broke together are separated,
+//! and the next crash tells the fatal one from the others; and gateways that send the same request at
+//! the same moment lose one upstream in total, not one each.
 //!
-//! Entries tell each other of ends and of answers, as pairs of a request and an upstream; what is told
-//! twice or in any order comes to the same. How often one is tried again must be agreed: that is
-//! counted in the store, under the condition that the row has not changed.
+//! Gateways exchange crashes and complete responses as pairs of a request and an upstream. Merging is
+//! idempotent and independent of order. The number of trials must be agreed on, so it is counted in the
+//! store, by writes that require that the row has not changed.
+//!
+//! Read `request_state` first, then `record`, `assessment`, `broken_streams` and `stored`.
 
-mod breaks;
+mod assessment;
+mod broken_streams;
 mod config;
-mod judgement;
 mod record;
-mod standing;
+mod request_state;
 mod stored;
 
 use std::collections::BTreeSet;
@@ -36,248 +38,252 @@
 use stallhoist_core::RequestFingerprint;
 use stallhoist_core::StoreVersion;
 
-use breaks::Breaks;
+use broken_streams::BrokenStreams;
 pub use config::FatalConfig;
-use record::End;
+use record::Crash;
 use record::Record;
 use record::Row;
-pub use standing::Disposition;
-pub use standing::FatalChange;
-pub use standing::FatalRecord;
-use standing::HeldBack;
-use standing::Standing;
-use standing::Suspect;
+pub use request_state::Disposition;
+pub use request_state::FatalChange;
+pub use request_state::FatalRecord;
+use request_state::HeldBack;
+use request_state::RequestState;
+use request_state::Suspect;
 
 use crate::balance::UpstreamKey;
 
-/// What entries tell each other: an upstream ended while it ran a request.
+/// A peer update: an upstream crashed while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashUpdate {
     /// The request.
     pub request: RequestFingerprint,
     /// The upstream.
     pub upstream: UpstreamKey,
-    /// Whether the request has been answered whole since, so that the end does not count.
+    /// Whether the request has had a complete response since, so that the crash does not count.
     pub is_cleared: bool,
 }
 
-/// What is known of requests under which upstreams have ended.
+/// Tracks requests under which upstreams crashed.
 #[derive(Debug, Default)]
 pub struct FatalRequests {
     config: FatalConfig,
     records: HashMap<RequestFingerprint, Record>,
-    /// The requests that ran on each upstream that has ended, as far as these ends count.
-    beside: HashMap<UpstreamKey, BTreeSet<RequestFingerprint>>,
-    /// Answers that broke off here, until it shows why.
-    breaks: Breaks,
+    /// The requests that ran on each crashed upstream, as far as their crashes count.
+    co_running: HashMap<UpstreamKey, BTreeSet<RequestFingerprint>>,
+    /// Local broken streams whose cause is not known yet.
+    broken_streams: BrokenStreams,
 }
 
 impl FatalRequests {
-    /// Nothing is known yet.
+    /// Creates an empty tracker.
     pub fn new(config: FatalConfig) -> Self {
         Self { config, ..Self::default() }
     }
 
-    /// Whether nothing is known of any request.
+    /// Whether no request is tracked.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Whether it is still open of any answer that broke off why it did.
+    /// Whether there are broken streams whose cause is not known yet.
     pub fn has_unexplained_broken_streams(&self) -> bool {
-        !self.breaks.is_empty()
+        !self.broken_streams.is_empty()
     }
 
-    /// What may be done with a request now.
+    /// How a request may be handled now.
     pub fn verdict(&self, now: MonoTime, request: RequestFingerprint) -> Disposition {
         let Some(record) = self.records.get(&request) else {
             return Disposition::Free;
         };
-        let held = match record.standing {
-            Standing::Cleared(_) => return Disposition::Free,
-            Standing::Suspect(_) => return Disposition::Suspect,
-            Standing::Trying(trying) if now < trying.until() => {
+        let held = match record.state {
+            RequestState::Cleared(_) => return Disposition::Free,
+            RequestState::Suspect(_) => return Disposition::Suspect,
+            RequestState::Trying(trying) if now < trying.until() => {
                 return Disposition::HeldBack { due: Some(trying.until()) };
             }
-            Standing::Trying(trying) => trying.end(trying.until()),
-            Standing::HeldBack(held) => held,
+            RequestState::Trying(trying) => trying.end(trying.until()),
+            RequestState::HeldBack(held) => held,
         };
-        match held.due(&self.config) {
+        match held.next_trial_at(&self.config) {
             Some(due) if now >= due && record.row.is_some() => Disposition::MayTry,
             due => Disposition::HeldBack { due },
         }
     }
 
-    /// An upstream has ended while it ran a request, at this entry. Says whether that is new.
+    /// Records the crash of an upstream while it ran a request at this gateway. Returns whether it is
+    /// new.
     pub fn record_crash(
         &mut self,
         now: MonoTime,
         request: RequestFingerprint,
         upstream: UpstreamKey,
     ) -> bool {
-        !self.all_ended(now, [request], upstream).is_empty()
+        !self.record_crashes(now, [request], upstream).is_empty()
     }
 
-    /// The same of several requests that ran there, which are judged together, once. Gives those for
-    /// which it is new.
-    fn all_ended(
+    /// Records a crash for several requests on the upstream and assesses them together, once. Returns
+    /// the requests for which it is new.
+    fn record_crashes(
         &mut self,
         now: MonoTime,
         requests: impl IntoIterator<Item = RequestFingerprint>,
         upstream: UpstreamKey,
     ) -> Vec<RequestFingerprint> {
-        let mut concerned = Vec::new();
+        let mut affected = Vec::new();
         let mut new = Vec::new();
         for request in requests {
             if let Some(record) = self.records.get_mut(&request)
-                && let Standing::Trying(trying) = record.standing
+                && let RequestState::Trying(trying) = record.state
             {
-                record.standing = Standing::HeldBack(trying.held().proved(&self.config));
+                record.state = RequestState::HeldBack(trying.held().proved_fatal(&self.config));
             }
-            let end = CrashUpdate { request, upstream, is_cleared: false };
-            if self.learnt(now, end, &mut concerned) {
+            let update = CrashUpdate { request, upstream, is_cleared: false };
+            if self.add_crash(now, update, &mut affected) {
                 new.push(request);
             }
         }
-        self.judge_around(now, concerned);
+        self.reassess(now, affected);
         new
     }
 
-    /// The answer of a request broke off, and its upstream may have ended.
+    /// Records that the response stream of a request broke; the upstream may have crashed.
     pub fn record_broken_stream(
         &mut self,
         now: MonoTime,
         request: RequestFingerprint,
         upstream: UpstreamKey,
     ) {
-        self.breaks.record_broken_stream(now, request, upstream);
+        self.broken_streams.record_broken_stream(now, request, upstream);
     }
 
-    /// It shows that an upstream has ended, however that is learnt: what broke off there lately did so
-    /// by its end. Gives the requests for which that is new.
+    /// Records that an upstream has terminated, from whatever source: its recent broken streams are
+    /// attributed to that. Returns the requests for which the crash is new.
     pub fn record_termination(
         &mut self,
         now: MonoTime,
         upstream: UpstreamKey,
     ) -> Vec<RequestFingerprint> {
-        let broken = self.breaks.ended(now, upstream);
-        self.all_ended(now, broken, upstream)
+        let broken = self.broken_streams.take_recent(now, upstream);
+        self.record_crashes(now, broken, upstream)
     }
 
-    /// A request was answered whole. Says whether anything was held against it.
+    /// Records a complete response. Returns whether the request had crashes against it.
     pub fn answered(&mut self, now: MonoTime, request: RequestFingerprint) -> bool {
         let Some(record) = self.records.get_mut(&request) else {
             return false;
         };
-        if record.standing.is_cleared() {
+        if record.state.is_cleared() {
             return false;
         }
-        let upstreams: Vec<_> = record.counted().collect();
+        let upstreams: Vec<_> = record.crashed_upstreams().collect();
         record.clear(now);
-        let mut concerned = Vec::new();
-        self.dismiss(request, &upstreams, &mut concerned);
-        self.judge_around(now, concerned);
+        let mut affected = Vec::new();
+        self.dismiss_crashes(request, &upstreams, &mut affected);
+        self.reassess(now, affected);
         true
     }
 
-    /// Another entry tells of ends. Gives how many of them are new. All are judged together, once: in a
-    /// time of many ends a message has tens of them, which concern each other.
+    /// Merges crashes received from a peer and returns how many are new. They are assessed together,
+    /// once: when many upstreams crash, a message has tens of crashes that depend on each other.
     pub fn apply_peer_update(
         &mut self,
         now: MonoTime,
-        news: impl IntoIterator<Item = CrashUpdate>,
+        updates: impl IntoIterator<Item = CrashUpdate>,
     ) -> usize {
-        let mut concerned = Vec::new();
+        let mut affected = Vec::new();
         let mut new = 0;
-        for news in news {
-            new += usize::from(self.learnt(now, news, &mut concerned));
+        for update in updates {
+            new += usize::from(self.add_crash(now, update, &mut affected));
         }
-        self.judge_around(now, concerned);
+        self.reassess(now, affected);
         new
     }
 
-    /// Takes an end down, and adds the requests that it concerns. Says whether it is new.
-    fn learnt(
+    /// Adds a crash and appends the requests that it affects. Returns whether it is new.
+    fn add_crash(
         &mut self,
         now: MonoTime,
-        news: CrashUpdate,
-        concerned: &mut Vec<RequestFingerprint>,
+        update: CrashUpdate,
+        affected: &mut Vec<RequestFingerprint>,
     ) -> bool {
-        let CrashUpdate { request, upstream, is_cleared } = news;
-        if !self.has_room(&news) {
+        let CrashUpdate { request, upstream, is_cleared } = update;
+        if !self.has_room(&update) {
             return false;
         }
         let record = self.records.entry(request).or_insert_with(|| Record::new(now));
         match record.ends().get(&upstream) {
-            Some(end) if !end.counts || !is_cleared => return false,
+            Some(crash) if !crash.counts || !is_cleared => return false,
             _ => {}
         }
-        // What is known by its row alone is not cleared by news of ends that were never known here.
-        let is_known_by_row = record.row.is_some() && !record.counts(upstream);
-        record.set_end(upstream, End { learnt: now, counts: !is_cleared });
-        record.changed = now;
+        // A request that is known only by its row is not cleared by an update on a crash that was never
+        // known here.
+        let is_known_by_row = record.row.is_some() && !record.has_counted_crash(upstream);
+        record.set_crash(upstream, Crash { learnt_at: now, counts: !is_cleared });
+        record.changed_at = now;
         if is_cleared {
-            if record.count() == 0 && !is_known_by_row {
+            if record.crash_count() == 0 && !is_known_by_row {
                 record.clear(now);
             }
-            self.dismiss(request, &[upstream], concerned);
+            self.dismiss_crashes(request, &[upstream], affected);
         } else {
-            if record.standing.is_cleared() {
-                record.standing = Standing::Suspect(Suspect);
+            if record.state.is_cleared() {
+                record.state = RequestState::Suspect(Suspect);
             }
-            self.beside.entry(upstream).or_default().insert(request);
+            self.co_running.entry(upstream).or_default().insert(request);
         }
-        concerned.push(request);
+        affected.push(request);
         true
     }
 
-    /// Whether one more end can be remembered. The request that has not changed for the longest time
-    /// gives way, unless it is held back.
-    fn has_room(&mut self, news: &CrashUpdate) -> bool {
-        let beside = self.beside.get(&news.upstream).map_or(0, BTreeSet::len);
-        if !news.is_cleared && beside >= self.config.max_requests_per_crash {
+    /// Whether there is room for one more crash. Evicts the request that has not changed for the
+    /// longest time, unless it is quarantined.
+    fn has_room(&mut self, update: &CrashUpdate) -> bool {
+        let co_running = self.co_running.get(&update.upstream).map_or(0, BTreeSet::len);
+        if !update.is_cleared && co_running >= self.config.max_requests_per_crash {
             return false;
         }
-        if let Some(record) = self.records.get(&news.request) {
-            let is_known = record.ends().contains_key(&news.upstream);
+        if let Some(record) = self.records.get(&update.request) {
+            let is_known = record.ends().contains_key(&update.upstream);
             return is_known || record.ends().len() < self.config.max_crashes_per_request;
         }
         if self.records.len() < self.config.max_requests {
             return true;
         }
-        let may_go = self.records.iter().filter(|(_, record)| record.standing.held().is_none());
-        let oldest = may_go.min_by_key(|(_, record)| record.changed).map(|(request, _)| *request);
+        let evictable =
+            self.records.iter().filter(|(_, record)| record.state.quarantined().is_none());
+        let oldest =
+            evictable.min_by_key(|(_, record)| record.changed_at).map(|(request, _)| *request);
         oldest.is_some_and(|oldest| {
-            self.forget(oldest);
+            self.remove(oldest);
             true
         })
     }
 
-    /// Ends of upstreams do not count for a request any more: what it explained is open again.
-    fn dismiss(
+    /// Stops counting crashes for a request and appends the requests whose crashes it explained.
+    fn dismiss_crashes(
         &mut self,
         request: RequestFingerprint,
         upstreams: &[UpstreamKey],
-        concerned: &mut Vec<RequestFingerprint>,
+        affected: &mut Vec<RequestFingerprint>,
     ) {
         for upstream in upstreams {
-            self.take_away(request, *upstream);
-            concerned.extend(self.beside.get(upstream).into_iter().flatten().copied());
+            self.remove_co_running(request, *upstream);
+            affected.extend(self.co_running.get(upstream).into_iter().flatten().copied());
         }
     }
 
-    /// A request is not one of those any more that ran on an upstream when it ended.
-    fn take_away(&mut self, request: RequestFingerprint, upstream: UpstreamKey) {
-        if let Some(beside) = self.beside.get_mut(&upstream) {
-            beside.remove(&request);
-            if beside.is_empty() {
-                self.beside.remove(&upstream);
+    /// Removes a request from those that ran on a crashed upstream.
+    fn remove_co_running(&mut self, request: RequestFingerprint, upstream: UpstreamKey) {
+        if let Some(co_running) = self.co_running.get_mut(&upstream) {
+            co_running.remove(&request);
+            if co_running.is_empty() {
+                self.co_running.remove(&upstream);
             }
         }
     }
 
-    /// A request is to be tried again by this entry. Gives what the store has to agree to; none when
-    /// it is not to be tried now.
+    /// Begins a trial at this gateway. Returns the write that the store must accept; none if no trial
+    /// may begin now.
     pub fn begin_trial(
         &mut self,
         now: MonoTime,
@@ -287,24 +293,24 @@
             return None;
         }
         let record = self.records.get_mut(&request)?;
-        let trying = record.standing.held()?.begin_trial(now, &self.config);
-        record.standing = Standing::Trying(trying);
-        let stored = FatalRecord { tries: trying.held().tries(), ends: record.count_u32() };
+        let trying = record.state.quarantined()?.begin_trial(now, &self.config);
+        record.state = RequestState::Trying(trying);
+        let stored = FatalRecord { tries: trying.held().tries(), ends: record.crash_count_u32() };
         let expected = record.row.map(|row| row.version);
         Some(FatalChange { expected, record: Some(stored) })
     }
 
-    /// A try is over, or the store did not agree to it. One that had an outcome has told it before.
+    /// Ends a trial, also if the store rejected it. A trial with a result has recorded that before.
     pub fn end_trial(&mut self, now: MonoTime, request: RequestFingerprint) {
         if let Some(record) = self.records.get_mut(&request)
-            && let Standing::Trying(trying) = record.standing
+            && let RequestState::Trying(trying) = record.state
         {
-            record.standing = Standing::HeldBack(trying.end(now));
+            record.state = RequestState::HeldBack(trying.end(now));
         }
     }
 
-    /// The store says that a request is held back. One that has been cleared here stays so: its row
-    /// is to be removed.
+    /// Applies a stored record: the request is quarantined. A request that was cleared here stays
+    /// cleared, as its row is about to be removed.
     pub fn stored(
         &mut self,
         now: MonoTime,
@@ -314,20 +320,21 @@
     ) {
         let record = self.records.entry(request).or_insert_with(|| Record::new(now));
         record.row = Some(Row { version, tries: stored.tries });
-        match record.standing {
-            Standing::Cleared(_) => {}
-            Standing::Trying(trying) if trying.held().tries() >= stored.tries => {}
-            standing => {
-                // What was learnt at a try may be ahead of the row.
-                let known = standing.held().map_or(0, HeldBack::tries);
+        match record.state {
+            RequestState::Cleared(_) => {}
+            RequestState::Trying(trying) if trying.held().tries() >= stored.tries => {}
+            state => {
+                // The result of a local trial may be ahead of the row.
+                let known = state.quarantined().map_or(0, HeldBack::tries);
                 let tries = known.max(stored.tries);
-                record.standing = Standing::HeldBack(HeldBack::stored(now, tries));
+                record.state = RequestState::HeldBack(HeldBack::stored(now, tries));
             }
         }
-        self.judge_around(now, vec![request]);
+        self.reassess(now, vec![request]);
     }
 
-    /// The store has no row of a request any more: it was answered whole, or an operator removed it.
+    /// Applies the removal of a row: the request had a complete response, or an operator removed the
+    /// row.
     pub fn unstored(&mut self, now: MonoTime, request: RequestFingerprint) {
         if let Some(record) = self.records.get_mut(&request)
             && record.row.take().is_some()
@@ -336,8 +343,9 @@
         }
     }
 
-    /// The store was read anew at a version, and has rows of these requests only. Where it has come back
-    /// from a copy meanwhile, the others are held back as before, and are to be stored again.
+    /// Applies a complete read of the store at a version: it has rows of these requests only. If the
+    /// store was restored from a copy in between, the other requests stay quarantined and are to be
+    /// stored again.
     pub fn retain_stored(
         &mut self,
         now: MonoTime,
@@ -360,50 +368,52 @@
         }
     }
 
-    /// What other entries should know that have listened lately.
+    /// Crashes recorded lately, to send to peers that have followed the earlier updates.
     pub fn peer_updates(&self, now: MonoTime) -> impl Iterator<Item = CrashUpdate> {
         let publish_for = self.config.publish_for;
-        self.all_news().filter(move |(end, _)| now.since(end.learnt) < publish_for).map(|(_, n)| n)
+        self.all_updates()
+            .filter(move |(crash, _)| now.since(crash.learnt_at) < publish_for)
+            .map(|(_, update)| update)
     }
 
-    /// What an entry should know that has just started.
+    /// Crashes to send to a peer that has just started.
     pub fn startup_peer_updates(&self) -> impl Iterator<Item = CrashUpdate> {
-        self.all_news().map(|(_, news)| news)
+        self.all_updates().map(|(_, update)| update)
     }
 
-    fn all_news(&self) -> impl Iterator<Item = (End, CrashUpdate)> {
+    fn all_updates(&self) -> impl Iterator<Item = (Crash, CrashUpdate)> {
         self.records.iter().flat_map(|(request, record)| {
-            record.ends().iter().map(|(upstream, end)| {
-                let is_cleared = !end.counts;
-                (*end, CrashUpdate { request: *request, upstream: *upstream, is_cleared })
+            record.ends().iter().map(|(upstream, crash)| {
+                let is_cleared = !crash.counts;
+                (*crash, CrashUpdate { request: *request, upstream: *upstream, is_cleared })
             })
         })
     }
 
-    /// Forgets what is of no use any more.
+    /// Drops expired records.
     pub fn expire(&mut self, now: MonoTime) {
-        self.breaks.expire(now);
-        let is_over = |record: &Record| record.is_over(now, &self.config);
-        let over = self.records.iter().filter(|(_, record)| is_over(record));
-        let over: Vec<_> = over.map(|(request, _)| *request).collect();
-        for request in over {
-            self.forget(request);
+        self.broken_streams.expire(now);
+        let is_expired = |record: &Record| record.is_expired(now, &self.config);
+        let expired = self.records.iter().filter(|(_, record)| is_expired(record));
+        let expired: Vec<_> = expired.map(|(request, _)| *request).collect();
+        for request in expired {
+            self.remove(request);
         }
     }
 
-    fn forget(&mut self, request: RequestFingerprint) {
+    fn remove(&mut self, request: RequestFingerprint) {
         let Some(record) = self.records.remove(&request) else {
             return;
         };
-        record.counted().for_each(|upstream| self.take_away(request, upstream));
+        record.crashed_upstreams().for_each(|upstream| self.remove_co_running(request, upstream));
     }
 
-    /// One line for each request that is suspect or held back, for the state dump.
+    /// One line for each tracked request, for the state dump.
     pub fn summary(&self) -> Vec<String> {
         let line = |(request, record): (&RequestFingerprint, &Record)| {
-            let Record { standing, row, .. } = record;
-            let ends = record.count();
-            format!("{request} ends={ends} stored={} {standing:?}", row.is_some())
+            let Record { state, row, .. } = record;
+            let ends = record.crash_count();
+            format!("{request} ends={ends} stored={} {state:?}", row.is_some())
         };
         let mut lines: Vec<_> = self.records.iter().map(line).collect();
         lines.sort_unstable();
--- a/crates/policy/src/fatal/record.rs
+++ b/crates/policy/src/fatal/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one request.
+//! The crash record of one request.
 
 use std::collections::BTreeMap;
 
@@ -6,94 +6,95 @@
 use stallhoist_core::StoreVersion;
 
 use super::FatalConfig;
-use super::standing::Cleared;
-use super::standing::Standing;
-use super::standing::Suspect;
+use super::request_state::Cleared;
+use super::request_state::RequestState;
+use super::request_state::Suspect;
 use crate::balance::UpstreamKey;
 
-/// An end of an upstream while it ran a request.
+/// A crash of an upstream while it ran a request.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct End {
-    /// When this was learnt, or that it does not count.
-    pub(super) learnt: MonoTime,
-    /// Whether it counts: the request has not been answered whole since.
+pub(super) struct Crash {
+    /// When the crash, or its clearance, was recorded.
+    pub(super) learnt_at: MonoTime,
+    /// Whether the crash counts: false after a complete response to the request.
     pub(super) counts: bool,
 }
 
-/// The row that the store has of a request.
+/// The stored row of a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Row {
     pub(super) version: StoreVersion,
-    /// How often the request had been tried again by then.
+    /// How often the request had been tried again when the row was written.
     pub(super) tries: u32,
 }
 
-/// What is known of one request.
+/// The crash record of one request.
 #[derive(Debug)]
 pub(super) struct Record {
-    ends: BTreeMap<UpstreamKey, End>,
-    /// How many of them count: asked for each request beside it, at each news.
-    count: usize,
-    pub(super) standing: Standing,
-    /// Its row in the store, if there is one.
+    ends: BTreeMap<UpstreamKey, Crash>,
+    /// The number of crashes that count. Cached, as each peer update needs it for every request on the
+    /// same upstreams.
+    crash_count: usize,
+    pub(super) state: RequestState,
+    /// The stored row, if there is one.
     pub(super) row: Option<Row>,
-    pub(super) changed: MonoTime,
+    pub(super) changed_at: MonoTime,
 }
 
 impl Record {
     pub(super) fn new(now: MonoTime) -> Self {
-        let standing = Standing::Suspect(Suspect);
-        Self { ends: BTreeMap::new(), count: 0, standing, row: None, changed: now }
+        let state = RequestState::Suspect(Suspect);
+        Self { ends: BTreeMap::new(), crash_count: 0, state, row: None, changed_at: now }
     }
 
-    /// The upstreams whose ends count.
-    pub(super) fn counted(&self) -> impl Iterator<Item = UpstreamKey> {
-        self.ends.iter().filter(|(_, end)| end.counts).map(|(upstream, _)| *upstream)
+    /// The upstreams whose crashes count.
+    pub(super) fn crashed_upstreams(&self) -> impl Iterator<Item = UpstreamKey> {
+        self.ends.iter().filter(|(_, crash)| crash.counts).map(|(upstream, _)| *upstream)
     }
 
-    /// Whether it ran on an upstream that ended, and that counts.
-    pub(super) fn counts(&self, upstream: UpstreamKey) -> bool {
-        self.ends.get(&upstream).is_some_and(|end| end.counts)
+    /// Whether the request has a crash of this upstream that counts.
+    pub(super) fn has_counted_crash(&self, upstream: UpstreamKey) -> bool {
+        self.ends.get(&upstream).is_some_and(|crash| crash.counts)
     }
 
-    pub(super) fn count(&self) -> usize {
-        self.count
+    pub(super) fn crash_count(&self) -> usize {
+        self.crash_count
     }
 
-    /// All ends, also those that do not count.
-    pub(super) fn ends(&self) -> &BTreeMap<UpstreamKey, End> {
+    /// All crashes, including cleared ones.
+    pub(super) fn ends(&self) -> &BTreeMap<UpstreamKey, Crash> {
         &self.ends
     }
 
-    /// An end is so from now on.
-    pub(super) fn set_end(&mut self, upstream: UpstreamKey, end: End) {
-        let before = self.ends.insert(upstream, end);
-        self.count -= usize::from(before.is_some_and(|before| before.counts));
-        self.count += usize::from(end.counts);
+    /// Adds or replaces a crash.
+    pub(super) fn set_crash(&mut self, upstream: UpstreamKey, crash: Crash) {
+        let previous = self.ends.insert(upstream, crash);
+        self.crash_count -= usize::from(previous.is_some_and(|previous| previous.counts));
+        self.crash_count += usize::from(crash.counts);
     }
 
-    pub(super) fn count_u32(&self) -> u32 {
-        u32::try_from(self.count).unwrap_or(u32::MAX)
+    pub(super) fn crash_count_u32(&self) -> u32 {
+        u32::try_from(self.crash_count).unwrap_or(u32::MAX)
     }
 
-    /// Its ends so far do not count any more.
+    /// Clears all crashes so far.
     pub(super) fn clear(&mut self, now: MonoTime) {
-        for end in self.ends.values_mut().filter(|end| end.counts) {
-            *end = End { learnt: now, counts: false };
+        for crash in self.ends.values_mut().filter(|crash| crash.counts) {
+            *crash = Crash { learnt_at: now, counts: false };
         }
-        self.count = 0;
-        self.standing = Standing::Cleared(Cleared::at(now));
-        self.changed = now;
+        self.crash_count = 0;
+        self.state = RequestState::Cleared(Cleared::at(now));
+        self.changed_at = now;
     }
 
-    /// Whether there is no use in remembering it.
-    pub(super) fn is_over(&self, now: MonoTime, config: &FatalConfig) -> bool {
-        let age = now.since(self.changed);
+    /// Whether the record can be dropped.
+    pub(super) fn is_expired(&self, now: MonoTime, config: &FatalConfig) -> bool {
+        let age = now.since(self.changed_at);
         self.row.is_none()
-            && match self.standing {
-                Standing::Cleared(cleared) => now.since(cleared.since()) >= config.cleared_ttl,
-                Standing::Suspect(_) => age >= config.suspect_ttl,
-                Standing::HeldBack(_) | Standing::Trying(_) => false,
+            && match self.state {
+                RequestState::Cleared(cleared) => now.since(cleared.since()) >= config.cleared_ttl,
+                RequestState::Suspect(_) => age >= config.suspect_ttl,
+                RequestState::HeldBack(_) | RequestState::Trying(_) => false,
             }
     }
 }
--- a/crates/policy/src/fatal/standing.rs
+++ b/crates/policy/src/fatal/request_state.rs
@@ -1,38 +1,38 @@
-//! What a request is taken for, and how that changes.
+//! The states of a request in the crash tracking, and their transitions.
 
 use stallhoist_core::MonoTime;
 use stallhoist_core::StoreVersion;
 
 use super::FatalConfig;
 
-/// Upstreams have ended while they ran it; others that ran there may have done it.
+/// Upstreams crashed while they ran it; other requests on them may be the cause.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Suspect;
 
-/// It is not sent to upstreams.
+/// It is quarantined: not sent to upstreams.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct HeldBack {
-    /// Since when, or when it was tried last.
+    /// The start of the quarantine or the end of the last trial.
     since: MonoTime,
     tries: u32,
 }
 
-/// It is sent to one upstream, by this entry.
+/// It is on trial: this gateway sends it to one upstream.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Trying {
     held: HeldBack,
     until: MonoTime,
 }
 
-/// It was answered whole: the ends so far do not count.
+/// It had a complete response: crashes so far do not count.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Cleared {
     since: MonoTime,
 }
 
-/// What a request is taken for. Each state has the transitions that are possible from it.
+/// The state of a request. Each state has only the transitions that are possible from it.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Standing {
+pub(super) enum RequestState {
     Suspect(Suspect),
     HeldBack(HeldBack),
     Trying(Trying),
@@ -46,7 +46,7 @@
 }
 
 impl HeldBack {
-    /// As the store has it.
+    /// Restores the state from the store.
     pub(super) fn stored(now: MonoTime, tries: u32) -> Self {
         Self { since: now, tries }
     }
@@ -59,8 +59,8 @@
         self.tries
     }
 
-    /// When it may be tried again; none when it may not be.
-    pub(super) fn due(self, config: &FatalConfig) -> Option<MonoTime> {
+    /// When the next trial may begin; none if there is none.
+    pub(super) fn next_trial_at(self, config: &FatalConfig) -> Option<MonoTime> {
         (self.tries < config.max_trials).then(|| self.since.after(config.trial_delay))
     }
 
@@ -69,8 +69,8 @@
         Trying { held, until: now.after(config.trial_timeout) }
     }
 
-    /// An upstream has ended under it, when it was tried again: it is never tried again.
-    pub(super) fn proved(self, config: &FatalConfig) -> Self {
+    /// An upstream crashed during a trial: there are no more trials.
+    pub(super) fn proved_fatal(self, config: &FatalConfig) -> Self {
         Self { tries: config.max_trials, ..self }
     }
 }
@@ -84,7 +84,7 @@
         self.until
     }
 
-    /// The try proved nothing.
+    /// The trial had no result.
     pub(super) fn end(self, now: MonoTime) -> HeldBack {
         HeldBack { since: now, ..self.held }
     }
@@ -100,9 +100,9 @@
     }
 }
 
-impl Standing {
-    /// It is held back, also while it is tried.
-    pub(super) fn held(self) -> Option<HeldBack> {
+impl RequestState {
+    /// The quarantine, which lasts during a trial.
+    pub(super) fn quarantined(self) -> Option<HeldBack> {
         match self {
             Self::HeldBack(held) => Some(held),
             Self::Trying(trying) => Some(trying.held()),
@@ -115,36 +115,36 @@
     }
 }
 
-/// What may be done with a request.
+/// How a request may be handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disposition {
-    /// Nothing speaks against it.
+    /// It may be sent without restrictions.
     Free,
-    /// It may be what ended upstreams: it is sent, but not beside others of which that is thought.
+    /// It may have caused crashes: it is sent, but not to an upstream that runs other suspects.
     Suspect,
     /// It is not sent.
     HeldBack {
-        /// When it may be tried again; none when never.
+        /// When the next trial may begin; none if there is none.
         due: Option<MonoTime>,
     },
-    /// It is sent once if the store agrees, which counts the tries of all entries.
+    /// It is sent once if the store, which counts the trials of all gateways, agrees.
     MayTry,
 }
 
-/// What is to be written to the store of a request that is held back.
+/// The stored record of a quarantined request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FatalRecord {
-    /// How often it was tried again.
+    /// The number of trials.
     pub tries: u32,
-    /// Under how many upstreams' ends it has been.
+    /// The number of crashes.
     pub ends: u32,
 }
 
-/// What the store has of a request, and what is to be there instead.
+/// A conditional write of a request's record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FatalChange {
-    /// The version of its row that was read; none when there was no row.
+    /// The row version that was read; none if there was no row.
     pub expected: Option<StoreVersion>,
-    /// The new record; none when the row is to be removed.
+    /// The new record; none to remove the row.
     pub record: Option<FatalRecord>,
 }
--- a/crates/policy/src/fatal/stored.rs
+++ b/crates/policy/src/fatal/stored.rs
@@ -1,4 +1,4 @@
-//! What the store has of requests that are held back, and what it should have.
+//! Computes the changes to the stored records of quarantined requests.
 
 use std::time::Duration;
 
@@ -10,27 +10,29 @@
 use super::FatalRequests;
 use super::record::Record;
 use super::record::Row;
-use super::standing::HeldBack;
-use super::standing::Standing;
+use super::request_state::HeldBack;
+use super::request_state::RequestState;
 
 impl FatalRequests {
-    /// All that the store should have otherwise. Those that are held back for less than `settled`
-    /// are left out: news that explain their ends may be on their way.
+    /// Changes that the store still needs. Requests that were quarantined less than `settled` ago are
+    /// left out: peer updates that explain their crashes may be under way.
     pub fn changes(
         &self,
         now: MonoTime,
         settled: Duration,
     ) -> Vec<(RequestFingerprint, FatalChange)> {
         let change = |(request, record): (&RequestFingerprint, &Record)| {
-            let wanted = match record.standing {
-                Standing::HeldBack(held) => {
-                    if !self.is_storing_due(now, settled, record.row, held) {
+            let wanted = match record.state {
+                RequestState::HeldBack(held) => {
+                    if !self.needs_storing(now, settled, record.row, held) {
                         return None;
                     }
-                    Some(FatalRecord { tries: held.tries(), ends: record.count_u32() })
+                    Some(FatalRecord { tries: held.tries(), ends: record.crash_count_u32() })
+                }
+                RequestState::Cleared(_) if record.row.is_some() => None,
+                RequestState::Cleared(_) | RequestState::Suspect(_) | RequestState::Trying(_) => {
+                    return None;
                 }
-                Standing::Cleared(_) if record.row.is_some() => None,
-                Standing::Cleared(_) | Standing::Suspect(_) | Standing::Trying(_) => return None,
             };
             let expected = record.row.map(|row| row.version);
             Some((*request, FatalChange { expected, record: wanted }))
@@ -38,9 +40,9 @@
         self.records.iter().filter_map(change).collect()
     }
 
-    /// Whether the store is to be told of a request that is held back: for the first time, or that
-    /// it is not to be tried any more.
-    fn is_storing_due(
+    /// Whether a quarantined request must be written: because it isn't stored yet, or because it may
+    /// not be tried any more.
+    fn needs_storing(
         &self,
         now: MonoTime,
         settled: Duration,
@@ -49,7 +51,7 @@
     ) -> bool {
         match row {
             None => now.since(held.since()) >= settled,
-            Some(row) => row.tries < held.tries() && held.due(&self.config).is_none(),
+            Some(row) => row.tries < held.tries() && held.next_trial_at(&self.config).is_none(),
         }
     }
 }
