--- a/crates/gateway/src/fatal/mod.rs
+++ b/crates/gateway/src/fatal/mod.rs
@@ -1,7 +1,7 @@
-//! Requests under which upstreams have ended, as this entry knows them.
+//! Connects the policy on fatal requests with the gateway.
 //!
-//! What is decided is in [`stallhoist_policy::fatal`]. Here it meets requests, other entries and the
-//! store: [`FatalRequestTracker`] is what the tasks share, `keeper` is the task that writes to the store.
+//! [`stallhoist_policy::fatal`] makes the decisions. [`FatalRequestTracker`] holds its state, which the
+//! request, peer and store tasks share; `store_writer` is the task that writes to the store.
 
 mod store_writer;
 mod tracker;
--- a/crates/gateway/src/fatal/store_writer.rs
+++ b/crates/gateway/src/fatal/store_writer.rs
@@ -1,8 +1,9 @@
-//! The task that writes to the store which requests are held back.
+//! The task that writes quarantined requests to the store.
 //!
-//! What must be agreed is how often one is tried again, and what must last is that it is held back:
-//! an entry that starts reads it, also after all have lost power. Each write names the version of
-//! the row that was read, so of several entries that write the same one does.
+//! The store is needed for two things: gateways must agree on the number of trials, and a quarantine
+//! must outlast a power failure of all gateways. A gateway reads the stored rows when it starts. Each
+//! write requires the row version that was read, so only one of several concurrent writes of a change
+//! succeeds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,20 +18,20 @@
 use crate::peers::follows_store;
 use crate::state::GatewayState;
 
-/// How often it is checked whether something is to be written.
+/// How often the task checks for pending writes.
 const CHECK_EVERY: Duration = Duration::from_millis(200);
 
-/// How long a request has been held back before the store is told: other entries' news that explain
-/// its ends are here by then.
-const SETTLED_AFTER: Duration = Duration::from_millis(500);
+/// How long after the quarantine a request is stored: peer updates that explain its crashes have
+/// arrived by then.
+const STORE_DELAY: Duration = Duration::from_millis(500);
 
-/// The same for an entry that does not follow the store: those that do see first what was written.
-const LEFT_TO_OTHERS: Duration = Duration::from_millis(2_000);
+/// The same for a gateway that does not follow the store: gateways that do learn of a write sooner.
+const FALLBACK_STORE_DELAY: Duration = Duration::from_millis(2_000);
 
-/// After writes, what came of them is waited for.
+/// The pause after writes, until their results have arrived through the feed.
 const FEED_LAG: Duration = Duration::from_millis(1_000);
 
-/// Writes to the store what it should have, for ever.
+/// Writes pending changes to the store. Never returns, unless the task already runs.
 pub(crate) async fn store_fatal_requests<S: ControlStore>(state: Arc<GatewayState>, store: Arc<S>) {
     let Some(mut claims) = state.fatal.take_claims() else {
         return;
@@ -41,7 +42,7 @@
         if !state.fatal.is_used() && !state.fatal.has_unexplained_broken_streams() {
             continue;
         }
-        let settled = if follows_store(&state) { SETTLED_AFTER } else { LEFT_TO_OTHERS };
+        let settled = if follows_store(&state) { STORE_DELAY } else { FALLBACK_STORE_DELAY };
         let changes = state.fatal.change(|requests| {
             requests.expire(state.now());
             requests.changes(state.now(), settled)
@@ -53,7 +54,7 @@
     }
 }
 
-/// Answers questions whether requests may be tried again, for a while.
+/// Commits trial claims for a while and answers them.
 async fn answer_claims<S: ControlStore>(
     store: &S,
     claims: &mut mpsc::Receiver<Claim>,
@@ -61,15 +62,15 @@
 ) {
     let answering = async {
         while let Some(claim) = claims.recv().await {
-            let is_agreed = commit(store, claim.request, &claim.change).await;
-            // The caller may have left meanwhile.
-            let _ = claim.answer.send(is_agreed);
+            let is_accepted = commit(store, claim.request, &claim.change).await;
+            // The caller may have gone in the meantime.
+            let _ = claim.answer.send(is_accepted);
         }
     };
     let _ = tokio::time::timeout(pause, answering).await;
 }
 
-/// Says whether the store has taken a change.
+/// Commits a change and returns whether the store accepted it.
 async fn commit<S: ControlStore>(
     store: &S,
     request: RequestFingerprint,
@@ -81,13 +82,13 @@
             log::info!(fingerprint:% = request, record:? = change.record; "held-back request stored");
         }
         Err(ControlStoreError::Conflict) => {
-            log::info!(fingerprint:% = request; "another entry stored it first");
+            log::info!(fingerprint:% = request; "held-back request not stored: another gateway stored it first");
         }
         Err(error) => {
             log::warn!(
                 fingerprint:% = request,
                 error:% = error;
-                "held-back request not stored, to be tried again"
+                "held-back request not stored; will be retried"
             );
         }
     }
--- a/crates/gateway/src/fatal/tracker.rs
+++ b/crates/gateway/src/fatal/tracker.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a gateway share of requests under which upstreams have ended.
+//! The shared state of a gateway's tasks on requests under which upstreams crashed.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -23,10 +23,10 @@
 use crate::log_limit::LogLimit;
 use crate::state::GatewayState;
 
-/// So many requests may ask the store at once whether they may be tried again. Others are refused.
-const MAX_CLAIMS: usize = 16;
+/// The most trials that may wait for the store at once. Further ones are rejected.
+const MAX_PENDING_CLAIMS: usize = 16;
 
-/// A question whether this entry may try a request again, for the task that writes to the store.
+/// A request to the store task to commit a trial.
 #[derive(Debug)]
 pub(super) struct Claim {
     pub(super) request: RequestFingerprint,
@@ -34,25 +34,25 @@
     pub(super) answer: oneshot::Sender<bool>,
 }
 
-/// What the tasks of a gateway share of requests under which upstreams have ended.
+/// The shared state of a gateway's tasks on requests under which upstreams crashed.
 #[derive(Debug)]
 pub(crate) struct FatalRequestTracker {
     requests: Mutex<FatalRequests>,
-    /// Whether anything is known: without, requests need no fingerprint.
+    /// Whether any request is tracked: if not, requests need no fingerprint.
     is_used: AtomicBool,
     has_unexplained_broken_streams: AtomicBool,
-    /// Something is known that other entries should know at once.
+    /// Notified when there are updates to send to peers at once.
     updates_available: Notify,
-    /// For the lines on ends that cannot be read, which others can cause at will.
+    /// Limits the log lines on unreadable crash updates, which peers can cause at will.
     unreadable: Mutex<LogLimit>,
     claims: mpsc::Sender<Claim>,
-    /// For the task, which takes it.
+    /// The receiving end, until the store task takes it.
     claimed: Mutex<Option<mpsc::Receiver<Claim>>>,
 }
 
 impl Default for FatalRequestTracker {
     fn default() -> Self {
-        let (claims, claimed) = mpsc::channel(MAX_CLAIMS);
+        let (claims, claimed) = mpsc::channel(MAX_PENDING_CLAIMS);
         Self {
             requests: Mutex::new(FatalRequests::new(FatalConfig::default())),
             is_used: AtomicBool::new(false),
@@ -66,65 +66,73 @@
 }
 
 impl FatalRequestTracker {
-    /// Whether anything is known of any request.
+    /// Whether any request is tracked.
     pub(crate) fn is_used(&self) -> bool {
         self.is_used.load(Ordering::Relaxed)
     }
 
-    /// Whether it is still open of any answer that broke off why it did.
+    /// Whether there are broken streams whose cause is not known yet.
     pub(super) fn has_unexplained_broken_streams(&self) -> bool {
         self.has_unexplained_broken_streams.load(Ordering::Relaxed)
     }
 
-    /// What may be done with a request now.
+    /// How a request may be handled now.
     pub(crate) fn verdict(&self, now: MonoTime, request: RequestFingerprint) -> Disposition {
         self.requests.lock().verdict(now, request)
     }
 
-    /// An upstream has ended while it ran a request.
+    /// Records the crash of an upstream while it ran a request.
     pub(crate) fn record_crash(
         &self,
         now: MonoTime,
         request: RequestFingerprint,
-        start: &UpstreamIncarnation,
+        incarnation: &UpstreamIncarnation,
     ) {
-        if self.change(|requests| requests.record_crash(now, request, UpstreamKey::of(start))) {
-            self.note_new(now, request, start);
+        if self.change(|requests| requests.record_crash(now, request, UpstreamKey::of(incarnation)))
+        {
+            self.publish_crash(now, request, incarnation);
         }
     }
 
-    /// An end under a request was not known before.
-    fn note_new(&self, now: MonoTime, request: RequestFingerprint, start: &UpstreamIncarnation) {
+    /// Publishes and logs a new crash.
+    fn publish_crash(
+        &self,
+        now: MonoTime,
+        request: RequestFingerprint,
+        incarnation: &UpstreamIncarnation,
+    ) {
         self.updates_available.notify_one();
         if matches!(self.verdict(now, request), Disposition::HeldBack { .. }) {
-            log::warn!(fingerprint:% = request, instance:% = start; "request held back: it ends upstreams");
+            log::warn!(fingerprint:% = request, instance:% = incarnation; "request held back: it ends upstreams");
         }
     }
 
-    /// The answer of a request broke off, and it does not show yet whether its upstream has ended.
+    /// Records that a response stream broke and it is not known yet whether the upstream crashed.
     pub(crate) fn record_broken_stream(
         &self,
         now: MonoTime,
         request: RequestFingerprint,
-        start: &UpstreamIncarnation,
+        incarnation: &UpstreamIncarnation,
     ) {
-        self.change(|requests| requests.record_broken_stream(now, request, UpstreamKey::of(start)));
+        self.change(|requests| {
+            requests.record_broken_stream(now, request, UpstreamKey::of(incarnation))
+        });
     }
 
-    /// It shows that a start of an upstream has ended, which had not said that it leaves.
-    pub(crate) fn record_termination(&self, now: MonoTime, start: &UpstreamIncarnation) {
+    /// Records that an upstream incarnation has terminated without announcing that it leaves.
+    pub(crate) fn record_termination(&self, now: MonoTime, incarnation: &UpstreamIncarnation) {
         if !self.has_unexplained_broken_streams() {
             return;
         }
-        let broken =
-            self.change(|requests| requests.record_termination(now, UpstreamKey::of(start)));
-        for request in broken {
-            log::info!(fingerprint:% = request, instance:% = start; "its answer broke off as the upstream ended");
-            self.note_new(now, request, start);
+        let crashed =
+            self.change(|requests| requests.record_termination(now, UpstreamKey::of(incarnation)));
+        for request in crashed {
+            log::info!(fingerprint:% = request, instance:% = incarnation; "upstream terminated after the response of this request broke");
+            self.publish_crash(now, request, incarnation);
         }
     }
 
-    /// A request was answered whole.
+    /// Records a complete response.
     pub(crate) fn answered(&self, now: MonoTime, request: RequestFingerprint) {
         if self.change(|requests| requests.answered(now, request)) {
             self.updates_available.notify_one();
@@ -132,22 +140,26 @@
         }
     }
 
-    /// Other entries tell of ends.
-    pub(crate) fn apply_peer_update(&self, now: MonoTime, news: impl Iterator<Item = CrashUpdate>) {
-        let new = self.change(|requests| requests.apply_peer_update(now, news));
+    /// Merges crashes received from a peer.
+    pub(crate) fn apply_peer_update(
+        &self,
+        now: MonoTime,
+        updates: impl Iterator<Item = CrashUpdate>,
+    ) {
+        let new = self.change(|requests| requests.apply_peer_update(now, updates));
         if new > 0 {
             self.updates_available.notify_one();
         }
     }
 
-    /// So many ends that another entry told of cannot be read, or are too many at once.
+    /// Logs how many crash updates of a peer were unreadable or too many at once.
     pub(crate) fn left_out(&self, now: MonoTime, ends: usize) {
         if ends > 0 && self.unreadable.lock().pass(now).is_some() {
-            log::warn!(ends; "ends of upstreams told by another entry were left out");
+            log::warn!(ends; "unreadable or excess crash updates from a peer were dropped");
         }
     }
 
-    /// The store says that a request is held back.
+    /// Applies a stored quarantine.
     pub(crate) fn stored(&self, now: MonoTime, stored: &StoredFatalRequest) {
         let StoredFatalRequest { request, record, row_version, is_expired } = *stored;
         self.change(|requests| {
@@ -158,12 +170,12 @@
         });
     }
 
-    /// Waits until there is news for other entries.
+    /// Completes when there are updates to send to peers.
     pub(crate) fn updates_available(&self) -> Notified<'_> {
         self.updates_available.notified()
     }
 
-    /// What other entries should know.
+    /// Crashes to send to peers.
     pub(crate) fn peer_updates(&self, now: MonoTime) -> Vec<CrashUpdate> {
         if !self.is_used() {
             return Vec::new();
@@ -171,12 +183,12 @@
         self.requests.lock().peer_updates(now).collect()
     }
 
-    /// What an entry should know that has just started.
+    /// Crashes to send to a peer that has just started.
     pub(crate) fn startup_peer_updates(&self) -> Vec<CrashUpdate> {
         self.requests.lock().startup_peer_updates().collect()
     }
 
-    /// Changes what is known. It is in use from the first time on that something is.
+    /// Changes the tracked requests and updates the flags that tell whether there are any.
     pub(crate) fn change<T>(&self, change: impl FnOnce(&mut FatalRequests) -> T) -> T {
         let mut requests = self.requests.lock();
         let result = change(&mut requests);
@@ -186,18 +198,18 @@
         result
     }
 
-    /// One line for each request, for the state dump.
+    /// One line for each tracked request, for the state dump.
     pub(crate) fn summary(&self) -> Vec<String> {
         self.requests.lock().summary()
     }
 
-    /// The questions whether requests may be tried again; once, for the task that answers them.
+    /// Takes the receiver of trial claims. Returns it once, to the store task.
     pub(super) fn take_claims(&self) -> Option<mpsc::Receiver<Claim>> {
         self.claimed.lock().take()
     }
 }
 
-/// A request that is tried again. The try ends when this is dropped.
+/// A request on trial. The trial ends when this is dropped.
 #[derive(Debug)]
 pub(crate) struct Trial {
     state: Arc<GatewayState>,
@@ -205,7 +217,7 @@
 }
 
 impl Trial {
-    /// Begins to try a request again, if the store agrees.
+    /// Begins a trial, if the store accepts it.
     pub(crate) async fn begin(
         state: &Arc<GatewayState>,
         request: RequestFingerprint,
--- a/tests/all/decisions/fatal.rs
+++ b/tests/all/decisions/fatal.rs
@@ -1,4 +1,4 @@
-//! Whose fault the end of an upstream was.
+//! Attribution of upstream crashes to requests.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 use super::at_ms;
 use super::later;
 
-/// A request; each number is another one.
+/// A request. Each number stands for a different one.
 fn request(n: u32) -> RequestFingerprint {
     RequestFingerprint::of("POST", "/x", "workspace-1", &n.to_be_bytes())
 }
@@ -29,10 +29,10 @@
 const OTHER_FATAL: u32 = 2;
 const BYSTANDER: u32 = 9;
 
-/// What is known after upstreams have ended under requests: pairs of a request and an upstream.
-fn after(ends: &[(u32, u64)]) -> FatalRequests {
+/// The tracked requests after crashes: pairs of a request and an upstream.
+fn after(crashes: &[(u32, u64)]) -> FatalRequests {
     let mut requests = FatalRequests::default();
-    for (n, upstream) in ends {
+    for (n, upstream) in crashes {
         requests.record_crash(at_ms(0), request(*n), UpstreamKey(*upstream));
     }
     requests
@@ -50,7 +50,7 @@
     FatalRecord { tries, ends: 3 }
 }
 
-/// A request that the store says is held back, after so many tries.
+/// A request that is quarantined in the store, after so many trials.
 fn stored(tries: u32) -> FatalRequests {
     let mut requests = FatalRequests::default();
     requests.stored(at_ms(0), request(FATAL), StoreVersion::of(7), record(tries));
@@ -68,7 +68,7 @@
     assert!(is_held(&after(&[(FATAL, 1), (FATAL, 2), (FATAL, 3)]), FATAL));
 }
 
-// What the store had acknowledged is gone; nobody else knows that the request is held back.
+// The store lost an acknowledged record; no other gateway knows of the quarantine.
 #[test]
 fn a_request_is_stored_again_when_the_store_has_come_back_without_it() {
     let mut requests = stored(1);
@@ -111,13 +111,13 @@
     assert_eq!(verdict(&requests, BYSTANDER), Disposition::Suspect);
 }
 
-// The order in which entries hear of it must not matter: first the bystander's ends, all of them.
+// The result must not depend on the order of updates. Here all crashes of the bystander come first.
 #[test]
 fn a_request_is_let_go_when_another_one_explains_its_ends() {
     let mut requests = after(&[1, 2, 3].map(|upstream| (BYSTANDER, upstream)));
     assert!(is_held(&requests, BYSTANDER));
     for upstream in 1..=4 {
-        requests.apply_peer_update(at_ms(1), [news(FATAL, upstream, false)]);
+        requests.apply_peer_update(at_ms(1), [update(FATAL, upstream, false)]);
     }
     assert!(is_held(&requests, FATAL));
     assert_eq!(verdict(&requests, BYSTANDER), Disposition::Suspect);
@@ -137,8 +137,8 @@
     let mut requests = after(&[1, 2, 3].map(|upstream| (BYSTANDER, upstream)));
     assert!(requests.answered(at_ms(1), request(BYSTANDER)));
     assert_eq!(verdict(&requests, BYSTANDER), Disposition::Free);
-    // Others still tell of the ends, which are no news.
-    assert_eq!(requests.apply_peer_update(at_ms(2), [news(BYSTANDER, 3, false)]), 0);
+    // Peers still publish the crashes, which are known.
+    assert_eq!(requests.apply_peer_update(at_ms(2), [update(BYSTANDER, 3, false)]), 0);
     assert_eq!(verdict(&requests, BYSTANDER), Disposition::Free);
     requests.record_crash(at_ms(3), request(BYSTANDER), UpstreamKey(4));
     assert_eq!(verdict(&requests, BYSTANDER), Disposition::Suspect);
@@ -148,16 +148,16 @@
 fn a_whole_answer_elsewhere_clears_a_request_here() {
     let mut requests = after(&[1, 2, 3].map(|upstream| (BYSTANDER, upstream)));
     for upstream in 1..=3 {
-        assert_eq!(requests.apply_peer_update(at_ms(1), [news(BYSTANDER, upstream, true)]), 1);
+        assert_eq!(requests.apply_peer_update(at_ms(1), [update(BYSTANDER, upstream, true)]), 1);
     }
     assert_eq!(verdict(&requests, BYSTANDER), Disposition::Free);
 }
 
-// An end that was cleared long ago is told to an entry that has just read the row.
+// A peer publishes a crash that was cleared long ago to a gateway that has just read the row.
 #[test]
 fn an_end_that_does_not_count_clears_nothing_that_is_known_by_its_row() {
     let mut requests = stored(0);
-    assert_eq!(requests.apply_peer_update(at_ms(1), [news(FATAL, 1, true)]), 1);
+    assert_eq!(requests.apply_peer_update(at_ms(1), [update(FATAL, 1, true)]), 1);
     assert!(matches!(requests.verdict(at_ms(2), request(FATAL)), Disposition::HeldBack { .. }));
 }
 
@@ -207,7 +207,7 @@
     assert_eq!(tries, FatalConfig::default().max_trials);
 }
 
-// The row that counted the try is read after the try has ended an upstream.
+// The row that counts the trial is read after the crash of the trial's upstream.
 #[test]
 fn a_row_that_comes_late_does_not_allow_another_try() {
     let mut requests = stored(0);
@@ -231,7 +231,7 @@
     let changes = requests.changes(at_ms(5_200), Duration::ZERO);
     assert_eq!(changes[0].1.expected, Some(StoreVersion::of(8)));
     assert_eq!(changes[0].1.record, None);
-    // The row's last change, read again late, holds nothing back.
+    // A late read of the removed row does not quarantine the request again.
     requests.stored(at_ms(5_300), request(FATAL), StoreVersion::of(8), record(1));
     assert_eq!(requests.verdict(at_ms(5_301), request(FATAL)), Disposition::Free);
 }
@@ -286,15 +286,15 @@
     assert_eq!(requests.startup_peer_updates().count(), 1);
 }
 
-fn news(n: u32, upstream: u64, is_cleared: bool) -> CrashUpdate {
+fn update(n: u32, upstream: u64, is_cleared: bool) -> CrashUpdate {
     CrashUpdate { request: request(n), upstream: UpstreamKey(upstream), is_cleared }
 }
 
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(33), ..Config::default() })]
 
-    // Entries hear of the same ends in another order each, some of them twice, and must come to the
-    // same: what is sent at one entry is not to be refused at another.
+    // Gateways receive the same updates in a different order each, some of them twice, and must reach
+    // the same result: a request that one gateway sends must not be rejected by another.
     #[test]
     fn news_in_any_order_come_to_the_same(
         ends in vec((0..6_u32, 0..6_u64, any::<bool>()), 0..40),
@@ -307,14 +307,14 @@
                 shuffled.swap(a, b);
             }
         }
-        let told = |ends: &[(u32, u64, bool)]| {
+        let apply_all = |ends: &[(u32, u64, bool)]| {
             let mut requests = FatalRequests::default();
             for (n, upstream, is_cleared) in ends {
-                requests.apply_peer_update(at_ms(0), [news(*n, *upstream, *is_cleared)]);
+                requests.apply_peer_update(at_ms(0), [update(*n, *upstream, *is_cleared)]);
             }
             (0..6).map(|n| verdict(&requests, n)).collect::<Vec<_>>()
         };
-        assert_eq!(told(&ends), told(&shuffled));
+        assert_eq!(apply_all(&ends), apply_all(&shuffled));
     }
 }
 
@@ -337,9 +337,8 @@
     assert!(others.iter().all(|other| *other != own));
 }
 
-/// A request whose answers broke off at three upstreams, of which it shows so much later that they have
-/// ended.
-fn broke_off_then_ended(after_ms: u64) -> FatalRequests {
+/// A request whose streams broke on three upstreams, whose terminations become known `after_ms` later.
+fn broke_then_terminated(after_ms: u64) -> FatalRequests {
     let mut requests = FatalRequests::default();
     for upstream in 1..=3 {
         requests.record_broken_stream(at_ms(0), request(FATAL), UpstreamKey(upstream));
@@ -354,14 +353,14 @@
 #[test]
 fn an_end_that_shows_later_counts_as_one_that_shows_at_once() {
     assert!(matches!(
-        broke_off_then_ended(5_999).verdict(at_ms(6_000), request(FATAL)),
+        broke_then_terminated(5_999).verdict(at_ms(6_000), request(FATAL)),
         Disposition::HeldBack { .. }
     ));
 }
 
 #[test]
 fn an_end_long_after_an_answer_broke_off_is_another_matter() {
-    assert_eq!(verdict(&broke_off_then_ended(6_000), FATAL), Disposition::Free);
+    assert_eq!(verdict(&broke_then_terminated(6_000), FATAL), Disposition::Free);
 }
 
 #[test]
--- a/tests/all/gateway/fatal_requests.rs
+++ b/tests/all/gateway/fatal_requests.rs
@@ -1,15 +1,11 @@
-//! Requests that end the process of each upstream that runs them.
+//! Requests that crash each upstream that runs them.
 //!
-//! What users saw: engines ended one after the other, one every half second, for a quarter of a minute
-//! at a time, and most of the long streams of other callers did not come to their end. The order of
-//! events: a caller sent a request that ended the engine that ran it; the entry sent it on, as a request
-//! whose answer broke off may be, and two more engines ended; the caller got 502 and tried again,
-//! at another entry, which knew nothing of it. What runs beside such a request breaks off with it. The
-//! cause: what had happened was laid at the engines' doors alone, and nothing was kept of the request
-//! after its final answer, so that the next healthy engine was the best choice for it, again and again.
-//!
-//! The evidence: with upstreams that end on one body, that body reached upstreams 35 or 36 times after the
-//! third end, at one entry and at seven, and no other one stood under more than one end.
+//! Guards against crash loops caused by one request: the request crashes its upstream, the gateway
+//! retries it on two more, the caller gets 502 and retries at another gateway that knows nothing of it.
+//! Everything that runs on the crashed upstreams breaks too. If crashes are attributed to upstreams
+//! only, the next healthy upstream is always the best choice for the request. Without tracking, such a
+//! body reached upstreams 35 or 36 times after its third crash, with one gateway and with seven, while
+//! no other body was running at more than one crash.
 
 use std::convert::Infallible;
 use std::iter::repeat_n;
@@ -44,34 +40,34 @@
 
 const UPSTREAMS: usize = 12;
 
-/// What begins so ends the upstream that runs it.
+/// A request whose body begins with this crashes the upstream that runs it.
 const FATAL: &str = "fatal";
 
-/// So many upstreams may end under a request until it is known what it does.
-const ENDS_UNTIL_KNOWN: usize = 3;
+/// The number of crashes after which a request is known to be fatal.
+const CRASHES_UNTIL_KNOWN: usize = 3;
 
-/// Afterwards so many may be sent it in all, each of which may end.
-const SENDS_AFTER: usize = 3;
+/// The most sends of a known fatal request to upstreams, each of which may crash.
+const MAX_SENDS_WHEN_KNOWN: usize = 3;
 
-/// How long callers go on with it after that.
-const GO_ON_FOR: Duration = Duration::from_millis(1_500);
+/// How long callers repeat the request after that.
+const REPEAT_FOR: Duration = Duration::from_millis(1_500);
 
-/// Streams of others: so few that the budget of retries lets each be sent on.
-const BESIDE: usize = 12;
+/// Other callers' streams: few enough for the retry budget to allow one retry each.
+const OTHER_STREAMS: usize = 12;
 
-/// The news of the third end is everywhere by then.
-const NEWS_WITHIN: Duration = Duration::from_millis(500);
+/// All gateways know of the third crash after this time.
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
-/// The store's table of requests that are held back.
+/// The store's table of quarantined requests.
 const TABLE: &str = "stallhoist-fatal-requests";
 
-/// A stream that runs for half a second, so that many are beside the one that ends its engine.
+/// A stream of half a second, so that many run at the time of a crash.
 fn long_stream() -> Behaviour {
     let pause = Duration::from_millis(50);
     Behaviour::Stream { events: 10, pause, confidence: None, torn_after: None }
 }
 
-/// Entries, and upstreams that some requests end.
+/// Gateways, and upstreams that some requests crash.
 struct World {
     fleet: Fleet,
     upstreams: Vec<UpstreamStandin>,
@@ -107,7 +103,7 @@
         request.header("Deadline-Ms", 4_000).header("Model", "*").body(body.to_owned())
     }
 
-    /// The status that a caller gets; 0 if the connection was closed.
+    /// The status of a caller's response; 0 if the connection was closed.
     async fn ask(&self, entry: usize, path: &str, body: &str) -> u16 {
         match self.request(entry, path, body).send().await {
             Ok(answer) => answer.status().as_u16(),
@@ -115,38 +111,38 @@
         }
     }
 
-    /// Whether a caller gets a whole answer.
+    /// Whether a caller gets a complete response.
     async fn ask_whole(&self, entry: usize, path: &str, body: String) -> bool {
         let answer = send(self.request(entry, path, &body)).await;
         answer.is_some_and(|answer| answer.status == 200 && answer.is_whole)
     }
 
-    /// The store's rows of requests that are held back.
+    /// The store's rows of quarantined requests.
     fn rows(&self) -> Vec<Value> {
         self.fleet.store.table(TABLE)
     }
 
-    /// How often a request is tried again in all.
-    fn max_tries(&self) -> u32 {
+    /// The most trials of a request.
+    fn max_trials(&self) -> u32 {
         FatalConfig::default().max_trials
     }
 
-    /// Callers ask the same again and again, in turn at all entries, until some time after it has
-    /// become known. Gives what the last of them got.
-    async fn go_on(&self, path: &str, body: &str) -> u16 {
+    /// Callers repeat a request at all gateways in turn until some time after it is known to be fatal.
+    /// Returns the last status.
+    async fn repeat(&self, path: &str, body: &str) -> u16 {
         let mut entries = (0..self.fleet.entries.len()).cycle();
         let began = Instant::now();
         loop {
             let entry = entries.next().expect("a cycle has no end");
             let status = self.ask(entry, path, body).await;
             let known = self.known_at(body).unwrap_or_else(Instant::now);
-            if known.elapsed() > GO_ON_FOR || began.elapsed() > 4 * GO_ON_FOR {
+            if known.elapsed() > REPEAT_FOR || began.elapsed() > 4 * REPEAT_FOR {
                 return status;
             }
         }
     }
 
-    /// The ends of upstreams under a request, in their order.
+    /// The crashes under a request, in order.
     fn ends(&self, body: &str) -> Vec<End> {
         let ends = self.upstreams.iter().flat_map(UpstreamStandin::ends);
         let mut ends: Vec<_> = ends.filter(|end| end.body == body).collect();
@@ -154,9 +150,9 @@
         ends
     }
 
-    /// When enough upstreams had ended under a request to know what it does.
+    /// When enough upstreams had crashed to know that a request is fatal.
     fn known_at(&self, body: &str) -> Option<Instant> {
-        self.ends(body).get(ENDS_UNTIL_KNOWN - 1).map(|end| end.at)
+        self.ends(body).get(CRASHES_UNTIL_KNOWN - 1).map(|end| end.at)
     }
 
     /// How often a request reached upstreams after a moment.
@@ -165,62 +161,68 @@
         arrivals.filter(|arrival| arrival.body == body && arrival.at > moment).count()
     }
 
-    fn assert_is_held_back(&self, body: &str) {
-        let known = self.known_at(body).expect("it has ended three upstreams");
-        let sends = self.sends_after(body, known + NEWS_WITHIN);
-        assert!(sends <= SENDS_AFTER, "sent {sends} times after it was known");
+    fn assert_is_quarantined(&self, body: &str) {
+        let known = self.known_at(body).expect("it has crashed three upstreams");
+        let sends = self.sends_after(body, known + PROPAGATION_TIME);
+        assert!(sends <= MAX_SENDS_WHEN_KNOWN, "sent {sends} times after it was known");
     }
 }
 
-/// A request of one caller that ends upstreams, on a route, at so many entries.
-async fn is_held_back(path: &str, service: &str, entries: usize) {
+/// A fatal request of one caller, on a route, with `entries` gateways.
+async fn is_quarantined(path: &str, service: &str, entries: usize) {
     let world = World::start(entries, service).await;
-    let last = world.go_on(path, FATAL).await;
-    world.assert_is_held_back(FATAL);
+    let last = world.repeat(path, FATAL).await;
+    world.assert_is_quarantined(FATAL);
     assert_eq!(last, 503);
 }
 
-case!(a_stream_that_ends_engines_is_held_back_by_one_entry, {
-    is_held_back("/stream/x", ENGINE, 1)
+case!(a_stream_that_crashes_upstreams_is_quarantined_by_one_gateway, {
+    is_quarantined("/stream/x", ENGINE, 1)
 });
 
-case!(a_stream_that_ends_engines_is_held_back_by_all_entries, {
-    is_held_back("/stream/x", ENGINE, 7)
+case!(a_stream_that_crashes_upstreams_is_quarantined_by_all_gateways, {
+    is_quarantined("/stream/x", ENGINE, 7)
 });
 
-case!(a_call_that_may_run_once_and_ends_upstreams_is_held_back_by_all_entries, {
-    is_held_back("/once/x", PLAIN, 7)
+case!(an_at_most_once_call_that_crashes_upstreams_is_quarantined_by_all_gateways, {
+    is_quarantined("/once/x", PLAIN, 7)
 });
 
-/// The same at upstreams whose addresses take connections all the while, so that their ends show only when
-/// the list has their next starts, so long afterwards. The request is sent to a few more until then.
-async fn is_held_back_when_ends_show_later(path: &str, entries: usize, listed_after: Duration) {
+/// The same with upstreams whose addresses accept connections all the time: a crash becomes known only
+/// when the next incarnation is listed, `listed_after` later. Until then the request is sent a few more
+/// times.
+async fn is_quarantined_when_crashes_are_known_later(
+    path: &str,
+    entries: usize,
+    listed_after: Duration,
+) {
     let world = World::start(entries, PLAIN).await;
     for upstream in &world.upstreams {
         let rule = EndRule::shown_later(FATAL, listed_after);
         upstream.ends_on(rule, world.fleet.store.writer(), PLAIN);
     }
-    let last = world.go_on(path, FATAL).await;
-    let known = world.known_at(FATAL).expect("it has ended three upstreams");
-    let sends = world.sends_after(FATAL, known + listed_after + NEWS_WITHIN);
-    assert!(sends <= SENDS_AFTER, "sent {sends} times after it was known");
+    let last = world.repeat(path, FATAL).await;
+    let known = world.known_at(FATAL).expect("it has crashed three upstreams");
+    let sends = world.sends_after(FATAL, known + listed_after + PROPAGATION_TIME);
+    assert!(sends <= MAX_SENDS_WHEN_KNOWN, "sent {sends} times after it was known");
     assert_eq!(last, 503);
 }
 
-case!(ends_that_show_by_the_list_are_laid_at_its_door, {
-    is_held_back_when_ends_show_later("/once/x", 7, Duration::ZERO)
+case!(crashes_known_from_the_host_list_are_attributed, {
+    is_quarantined_when_crashes_are_known_later("/once/x", 7, Duration::ZERO)
 });
 
-case!(ends_that_show_by_the_list_are_laid_at_its_door_by_one_entry, {
-    is_held_back_when_ends_show_later("/safe/x", 1, Duration::ZERO)
+case!(crashes_known_from_the_host_list_are_attributed_by_one_gateway, {
+    is_quarantined_when_crashes_are_known_later("/safe/x", 1, Duration::ZERO)
 });
 
-case!(ends_that_show_by_the_list_a_while_later, {
-    is_held_back_when_ends_show_later("/safe/x", 7, Duration::from_millis(300))
+case!(crashes_known_from_the_host_list_after_a_delay_are_attributed, {
+    is_quarantined_when_crashes_are_known_later("/safe/x", 7, Duration::from_millis(300))
 });
 
-// Upstreams that say that they leave cut what is left at their end; their next starts are listed at once.
-case!(a_request_that_is_cut_by_planned_ends_is_served_again, async {
+// Upstreams that announce that they leave cut their last responses when they terminate. Their next
+// incarnations are listed at once.
+case!(a_request_that_is_cut_by_planned_terminations_is_served_again, async {
     let world = World::start(1, PLAIN).await;
     let list = world.fleet.store.writer();
     for upstream in &world.upstreams {
@@ -230,7 +232,7 @@
         || world.upstreams.iter().filter(|upstream| !upstream.arrivals().is_empty()).count();
     wait_until("many have cut it", async || {
         assert_eq!(world.ask(0, "/once/x", "a request").await, 502);
-        have_cut() >= 2 * ENDS_UNTIL_KNOWN
+        have_cut() >= 2 * CRASHES_UNTIL_KNOWN
     })
     .await;
     for upstream in &world.upstreams {
@@ -254,29 +256,29 @@
     assert!(world.rows().is_empty());
 });
 
-// Callers at seven entries send it at the same moment, before anybody has heard of it: each entry's first
-// one may end an engine. What they send on meets at one engine.
-case!(one_that_comes_to_all_entries_at_once_ends_few_engines_more, async {
+// Seven gateways receive the request at the same moment, before any knows of it, so the first send of
+// each may crash an upstream. Their retries go to the same upstream.
+case!(a_fatal_request_at_all_gateways_at_once_crashes_few_more_upstreams, async {
     let world = World::start(7, ENGINE).await;
     let entries = 0..world.fleet.entries.len();
     for _ in 0..6 {
         join_all(entries.clone().map(|entry| world.ask(entry, "/stream/x", FATAL))).await;
     }
     let ends = world.ends(FATAL).len();
-    assert!(ends <= entries.len() + SENDS_AFTER, "{ends} engines have ended");
+    assert!(ends <= entries.len() + MAX_SENDS_WHEN_KNOWN, "{ends} upstreams have crashed");
 });
 
-// What users saw beside it: most long streams of other callers did not come to their end.
-case!(streams_that_ran_beside_it_come_to_their_end, async {
+// Most long streams of other callers must not break with a fatal request.
+case!(streams_on_the_crashed_upstreams_complete, async {
     let world = World::start_with(1, ENGINE, long_stream()).await;
-    let beside = (0..BESIDE).map(|n| world.ask_whole(0, "/stream/x", format!("other {n}")));
-    let (fatal, beside) = join(world.go_on("/stream/x", FATAL), join_all(beside)).await;
+    let beside = (0..OTHER_STREAMS).map(|n| world.ask_whole(0, "/stream/x", format!("other {n}")));
+    let (fatal, beside) = join(world.repeat("/stream/x", FATAL), join_all(beside)).await;
     assert_eq!(fatal, 503);
-    assert!(world.ends(FATAL).len() >= ENDS_UNTIL_KNOWN);
+    assert!(world.ends(FATAL).len() >= CRASHES_UNTIL_KNOWN);
     assert_eq!(beside.iter().filter(|is_whole| !**is_whole).count(), 0);
 });
 
-// Connections break for other reasons too. A poll has the same body each time, an empty one.
+// Connections break for other reasons too. Polls all have the same, empty body.
 case!(a_poll_whose_connections_broke_is_served_again, async {
     let world = World::start(1, PLAIN).await;
     for upstream in &world.upstreams {
@@ -290,7 +292,8 @@
     }
 });
 
-// Neither how the body comes nor the order, the case and the values of other headers make another request of it.
+// Neither the framing of the body nor the order, case and values of other headers change a request's
+// identity.
 case!(the_same_request_in_another_form_is_held_back_too, async {
     let world = World::start(1, PLAIN).await;
     let request = || world.request(0, "/once/x", FATAL);
@@ -307,18 +310,18 @@
         assert_eq!(form.send().await.expect("an answer").status(), 502);
     }
     assert_eq!(world.ask(0, "/once/x", FATAL).await, 503);
-    assert_eq!(world.ends(FATAL).len(), ENDS_UNTIL_KNOWN);
-    // Another path, and another body that begins alike, are other requests.
+    assert_eq!(world.ends(FATAL).len(), CRASHES_UNTIL_KNOWN);
+    // Another path, or another body with the same beginning, is a different request.
     assert_eq!(world.ask(0, "/once/y", FATAL).await, 502);
     assert_eq!(world.ask(0, "/once/x", "fatal too").await, 502);
     assert_eq!(world.ask(0, "/once/x", "").await, 200);
 });
 
-// It ran beside fatal ones three times, or its upstreams ended by something else.
-case!(a_request_that_is_held_back_wrongly_is_served_after_a_try, async {
+// It ran together with fatal requests three times, or its upstreams crashed for another reason.
+case!(a_wrongly_quarantined_request_is_served_after_a_trial, async {
     let world = World::start(7, PLAIN).await;
-    world.go_on("/once/x", FATAL).await;
-    world.assert_is_held_back(FATAL);
+    world.repeat("/once/x", FATAL).await;
+    world.assert_is_quarantined(FATAL);
     let other = EndRule::of("no request begins so");
     for upstream in &world.upstreams {
         upstream.ends_on(other.clone(), world.fleet.store.writer(), PLAIN);
@@ -330,11 +333,11 @@
     wait_until("the store has no row of it", async || world.rows().is_empty()).await;
 });
 
-// The try ends an upstream as well: no other one follows.
-case!(a_request_that_ends_its_upstream_at_a_try_is_never_tried_again, async {
+// The trial crashes its upstream too: there is no other trial.
+case!(a_request_that_crashes_its_upstream_on_trial_has_no_other_trial, async {
     let world = World::start(3, PLAIN).await;
-    let tries = world.max_tries();
-    world.go_on("/once/x", FATAL).await;
+    let tries = world.max_trials();
+    world.repeat("/once/x", FATAL).await;
     let known = world.ends(FATAL).len();
     wait_until("it was tried", async || {
         world.ask(0, "/once/x", FATAL).await;
@@ -352,10 +355,10 @@
     assert_eq!(world.ends(FATAL).len(), known + 1);
 });
 
-// All entries lose power; the store has it.
-case!(entries_that_start_know_what_is_held_back, async {
+// All gateways lose power; the store has the record.
+case!(starting_gateways_know_what_is_quarantined, async {
     let mut world = World::start(3, ENGINE).await;
-    world.go_on("/stream/x", FATAL).await;
+    world.repeat("/stream/x", FATAL).await;
     wait_until("the store has it", async || world.rows().len() == 1).await;
     let known = world.ends(FATAL).len();
     world.fleet.entries.clear();
@@ -366,19 +369,19 @@
     assert_eq!(world.ends(FATAL).len(), known);
 });
 
-// An entry that starts while the table is not answered serves all the same, and is told by others.
-case!(entries_tell_each_other_while_the_store_is_away, async {
+// A gateway that starts while the table is unavailable serves requests and is informed by its peers.
+case!(gateways_exchange_crashes_while_the_store_is_unavailable, async {
     let world = World::start(7, PLAIN).await;
     world.fleet.store.set_fault(Some(StoreFault::Status(503)));
-    let last = world.go_on("/once/x", FATAL).await;
-    world.assert_is_held_back(FATAL);
+    let last = world.repeat("/once/x", FATAL).await;
+    world.assert_is_quarantined(FATAL);
     assert_eq!(last, 503);
     assert!(world.rows().is_empty());
     world.fleet.store.set_fault(None);
     wait_until("the store has it", async || world.rows().len() == 1).await;
 });
 
-case!(an_entry_starts_without_the_table_of_held_back_requests, async {
+case!(a_gateway_starts_without_the_table_of_quarantined_requests, async {
     let store = StoreStandin::start().await.expect("the store starts");
     store.put("op", "config", config(1));
     store.set_fault(Some(StoreFault::SilentTable(TABLE.to_owned())));
