--- a/crates/policy/src/fatal/config.rs
+++ b/crates/policy/src/fatal/config.rs
@@ -1,49 +1,51 @@
-//! How ends of upstreams are laid at requests' doors.
+//! Parameters of the attribution of crashes to requests.
 
 use std::time::Duration;
 
-/// How ends of upstreams are laid at requests' doors.
+/// Parameters of the attribution of crashes to requests.
 #[derive(Debug, Clone)]
 pub struct FatalConfig {
-    /// A request under which so many upstreams have ended is held back, unless others explain all
-    /// of these ends. Two would hold back requests that ran twice beside a fatal one by bad luck.
-    pub ends_until_held: usize,
-    /// How long after it was held back, or tried last, a request may be tried again. Upstreams that
-    /// ended are back after some seconds, and all entries have heard of it by then.
-    pub try_after: Duration,
-    /// How often it is tried again in all, by all entries: each may cost an upstream.
-    pub max_tries: u32,
-    /// A try that has no outcome after this time is taken for lost with its entry.
-    pub try_lasts: Duration,
-    /// For how long others are told of an end after it was learnt: they are told several times in
+    /// A request is quarantined after this many crashes, unless other requests explain all of them. A
+    /// threshold of two would quarantine requests that happened to run twice on the same upstream as a
+    /// fatal one.
+    pub quarantine_threshold: usize,
+    /// Delay before a quarantined request may be sent on trial, counted from the quarantine or the last
+    /// trial. Upstreams that crashed are back after some seconds, and all gateways know of the crash by
+    /// then.
+    pub trial_delay: Duration,
+    /// The most trials of a request, over all gateways: each may cost an upstream.
+    pub max_trials: u32,
+    /// A trial without a result after this time is treated as lost with its gateway.
+    pub trial_timeout: Duration,
+    /// How long a crash is published to peers after it was recorded. It is sent several times during
     /// this time, and each message costs bytes.
-    pub tell_for: Duration,
-    /// How long ends under a request count that comes again rarely.
-    pub suspect_for: Duration,
-    /// How long it is remembered that ends do not count any more: others may still tell of them.
-    pub cleared_for: Duration,
-    /// The most requests that are remembered, of some 200 bytes each. Only the end of an upstream
-    /// adds one, so it takes the ends of hundreds of upstreams to fill this.
+    pub publish_for: Duration,
+    /// How long the crashes of a request that is rarely repeated count.
+    pub suspect_ttl: Duration,
+    /// How long cleared crashes are kept: peers may still publish them.
+    pub cleared_ttl: Duration,
+    /// The most requests that are kept, at about 200 bytes each. Only a crash of an upstream adds
+    /// requests, so filling this takes crashes of hundreds of upstreams.
     pub max_requests: usize,
-    /// The most requests that are remembered for one end.
-    pub max_beside: usize,
-    /// The most ends that are remembered of one request.
-    pub max_ends: usize,
+    /// The most requests that are kept for one crash.
+    pub max_requests_per_crash: usize,
+    /// The most crashes that are kept for one request.
+    pub max_crashes_per_request: usize,
 }
 
 impl Default for FatalConfig {
     fn default() -> Self {
         Self {
-            ends_until_held: 3,
-            try_after: Duration::from_secs(5),
-            max_tries: 2,
-            try_lasts: Duration::from_secs(30),
-            tell_for: Duration::from_secs(3),
-            suspect_for: Duration::from_secs(24 * 3_600),
-            cleared_for: Duration::from_secs(60),
+            quarantine_threshold: 3,
+            trial_delay: Duration::from_secs(5),
+            max_trials: 2,
+            trial_timeout: Duration::from_secs(30),
+            publish_for: Duration::from_secs(3),
+            suspect_ttl: Duration::from_secs(24 * 3_600),
+            cleared_ttl: Duration::from_secs(60),
             max_requests: 4_096,
-            max_beside: 128,
-            max_ends: 16,
+            max_requests_per_crash: 128,
+            max_crashes_per_request: 16,
         }
     }
 }
