--- a/crates/gateway/src/upstreams/notices.rs
+++ b/crates/gateway/src/upstreams/notices.rs
@@ -28,7 +28,7 @@
             known.directory.record_draining(now, start);
         }
         if let Some(rest) = upstream_report.rest {
-            known.rests.asked(now, start, rest);
+            known.rests.record(now, start, rest);
         }
         let is_other_limit = known.limits.record_report(now, start, sent, upstream_report.limit);
         drop(known);
--- a/crates/policy/src/cold/mod.rs
+++ b/crates/policy/src/cold/mod.rs
@@ -1,9 +1,10 @@
-//! Upstreams that are cold: for a while after a start they bear only so many requests a second.
+//! Upstreams that are warming up ("cold"): for a while after a start they handle only a limited number of
+//! requests per second.
 //!
-//! An upstream that comes back has nothing to do and is the best choice of every entry at once: 34
-//! to 48 requests came to one within a second from 21 entries, where 32 are borne. The bound holds
-//! for all entries together, and none of them may have to agree on it first. So each entry works
-//! out, from the list of entries alone, how many requests a second are its own part of it.
+//! A restarted upstream is idle and therefore the best choice of every gateway at once: without a bound,
+//! 21 gateways sent 34 to 48 requests within one second to an upstream that handles 32. The bound holds
+//! for the whole fleet without coordination: each gateway derives its own share from the list of gateways
+//! alone.
 
 mod bound;
 mod record;
--- a/crates/policy/src/cold/record.rs
+++ b/crates/policy/src/cold/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one upstream that may be cold.
+//! The state kept for one upstream that may be warming up.
 
 use std::time::Duration;
 
@@ -8,47 +8,47 @@
 use crate::fleet_bound::RankCache;
 use crate::fleet_bound::SentTimes;
 
-/// Requests count together that were sent within this time. Longer than the second of the bound,
-/// as one may take longer on its way than the next.
+/// The span over which requests are counted. Longer than the one second of the bound, because network
+/// delay may bring requests closer together on arrival.
 pub(super) const WINDOW: Duration = Duration::from_millis(1_100);
 
-/// The longest that an upstream is believed to be cold, whatever it says.
-const MAX_COLD: Duration = Duration::from_secs(60);
+/// Upper bound on a warm-up, whatever the upstream reports.
+const MAX_WARM_UP: Duration = Duration::from_secs(60);
 
-/// What an upstream says of how much longer it is cold.
+/// The remaining warm-up time that an upstream reports.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ReportedCold {
-    /// Nothing: it is taken to be cold from its start on.
+    /// Not reported: the service's default applies from the start of the upstream.
     #[default]
     Unsaid,
-    /// Something that cannot be read, which says nothing.
+    /// A value that cannot be parsed; treated as not reported.
     Unreadable,
-    /// So long.
+    /// The remaining time.
     For(Duration),
 }
 
-/// What is known of one upstream that may be cold.
+/// The state kept for one upstream that may be warming up.
 #[derive(Debug, Default)]
 pub(super) struct Record {
     since: MonoTime,
-    told: ReportedCold,
-    /// When the operators last took its availability zone back.
+    reported: ReportedCold,
+    /// When operators last restored its availability zone.
     back_in_use: Option<MonoTime>,
-    /// When requests were sent to it, of the last [`WINDOW`].
+    /// Requests sent to it during the last [`WINDOW`].
     pub(super) sent: SentTimes,
-    /// The entry's rank.
+    /// The rank of this gateway for the upstream.
     pub(super) rank: RankCache,
 }
 
 impl Record {
-    /// One that has said that it is warm.
+    /// The record of an upstream that has reported the end of its warm-up.
     pub(super) fn warm() -> Self {
-        Self { told: ReportedCold::For(Duration::ZERO), ..Self::default() }
+        Self { reported: ReportedCold::For(Duration::ZERO), ..Self::default() }
     }
 
-    pub(super) fn record_report(&mut self, now: MonoTime, told: ReportedCold) {
+    pub(super) fn record_report(&mut self, now: MonoTime, reported: ReportedCold) {
         self.since = now;
-        self.told = told;
+        self.reported = reported;
         self.back_in_use = None;
     }
 
@@ -56,23 +56,22 @@
         self.back_in_use = Some(now);
     }
 
-    /// What was said last.
-    pub(super) fn last_told(&self) -> ReportedCold {
-        self.told
+    pub(super) fn last_reported(&self) -> ReportedCold {
+        self.reported
     }
 
-    /// Until when it is taken to be cold.
+    /// The end of the warm-up: the later one of the reported time and, after its availability zone was
+    /// restored, the service's default.
     pub(super) fn until(&self, service: &ColdService) -> MonoTime {
-        let told = match self.told {
+        let reported = match self.reported {
             ReportedCold::Unsaid | ReportedCold::Unreadable => service.after_start,
-            ReportedCold::For(told) => told,
+            ReportedCold::For(reported) => reported,
         };
-        let told = self.since.after(told.min(MAX_COLD));
-        let back = self.back_in_use.map(|back| back.after(service.after_start.min(MAX_COLD)));
-        back.map_or(told, |back| back.max(told))
+        let reported = self.since.after(reported.min(MAX_WARM_UP));
+        let back = self.back_in_use.map(|back| back.after(service.after_start.min(MAX_WARM_UP)));
+        back.map_or(reported, |back| back.max(reported))
     }
 
-    /// A request is sent.
     pub(super) fn record_sent(&mut self, now: MonoTime) {
         self.sent.record_sent(now, WINDOW);
     }
--- a/crates/policy/src/cold/upstreams.rs
+++ b/crates/policy/src/cold/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams that may be cold, as one entry knows them.
+//! The upstreams that may be warming up, as one gateway knows them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,78 +15,86 @@
 use crate::fleet_bound::Fleet;
 use crate::fleet_bound::SendQuota;
 
-/// The upstreams that may be cold, as one entry knows them.
+/// The upstreams that may be warming up, as one gateway knows them.
 #[derive(Debug)]
 pub struct ColdUpstreams {
-    /// None where nothing bounds what comes to a cold upstream.
+    /// None where upstreams that warm up have no limit.
     bound: Option<ColdBound>,
-    /// Those that are not known to be warm, few mostly: each choice looks for each upstream here. With a
-    /// record of each, an entry before 3,000 upstreams used three times the processor.
-    by_start: HashMap<UpstreamIncarnation, Record>,
+    /// Upstreams not known to be warm. Mostly small: every choice looks up each candidate, and a record of
+    /// every upstream tripled the CPU use of a gateway with 3,000 upstreams.
+    by_incarnation: HashMap<UpstreamIncarnation, Record>,
 }
 
 impl ColdUpstreams {
-    /// None is known yet.
+    /// Starts without any upstream; without a bound, every quota is unbounded.
     pub fn new(bound: Option<ColdBound>) -> Self {
-        Self { bound, by_start: HashMap::new() }
+        Self { bound, by_incarnation: HashMap::new() }
     }
 
-    /// An upstream has just said how long it is cold, in an answer or by a change of its entry in
-    /// the list.
+    /// Stores the warm-up time that an upstream has just reported, in a response or by a change of its row.
     pub fn record_report(
         &mut self,
         now: MonoTime,
-        start: &UpstreamIncarnation,
-        told: ReportedCold,
+        incarnation: &UpstreamIncarnation,
+        reported: ReportedCold,
     ) {
         if self.bound.is_none() {
             return;
         }
-        if told == ReportedCold::For(Duration::ZERO) {
-            self.by_start.remove(start);
+        if reported == ReportedCold::For(Duration::ZERO) {
+            self.by_incarnation.remove(incarnation);
             return;
         }
-        self.by_start.entry(start.clone()).or_default().record_report(now, told);
+        self.by_incarnation.entry(incarnation.clone()).or_default().record_report(now, reported);
     }
 
-    /// An upstream's entry was read, which may be older than what was known: the same words as
-    /// before do not make it cold once more.
-    pub fn record_row(&mut self, now: MonoTime, start: &UpstreamIncarnation, told: ReportedCold) {
-        let known = self.by_start.get(start).map(Record::last_told);
-        if known != Some(told) {
-            self.record_report(now, start, told);
+    /// Stores the warm-up time in a row that may be older than the known state: a value equal to the last
+    /// report does not restart the warm-up.
+    pub fn record_row(
+        &mut self,
+        now: MonoTime,
+        incarnation: &UpstreamIncarnation,
+        reported: ReportedCold,
+    ) {
+        let known = self.by_incarnation.get(incarnation).map(Record::last_reported);
+        if known != Some(reported) {
+            self.record_report(now, incarnation, reported);
         }
     }
 
-    /// Operators have taken an upstream back into use, for which it may have turned cold.
-    pub fn mark_back_in_use(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
+    /// Restarts the warm-up of an upstream whose availability zone operators have restored: it may have
+    /// cooled down meanwhile.
+    pub fn mark_back_in_use(&mut self, now: MonoTime, incarnation: &UpstreamIncarnation) {
         if self.bound.is_some() {
-            self.by_start.entry(start.clone()).or_insert_with(Record::warm).mark_back_in_use(now);
+            self.by_incarnation
+                .entry(incarnation.clone())
+                .or_insert_with(Record::warm)
+                .mark_back_in_use(now);
         }
     }
 
-    /// Whether one of these entries may send a request to an upstream of a service now.
+    /// Whether this gateway, one of `fleet`, may send a request to an upstream of a service now.
     pub fn place(
         &self,
         now: MonoTime,
-        start: &UpstreamIncarnation,
+        incarnation: &UpstreamIncarnation,
         service: Option<&ColdService>,
         fleet: &Fleet,
     ) -> SendQuota {
-        if self.by_start.is_empty() {
+        if self.by_incarnation.is_empty() {
             return SendQuota::Unbounded;
         }
         let (Some(bound), Some(service)) = (&self.bound, service) else {
             return SendQuota::Unbounded;
         };
-        let Some(record) = self.by_start.get(start) else {
+        let Some(record) = self.by_incarnation.get(incarnation) else {
             return SendQuota::Unbounded;
         };
         let until = record.until(service);
         if now >= until {
             return SendQuota::Unbounded;
         }
-        let rank = fleet.rank_for(now, UpstreamKey::of(start), &record.rank);
+        let rank = fleet.rank_for(now, UpstreamKey::of(incarnation), &record.rank);
         let share = rank.map_or(0, |rank| bound.share(service, rank));
         match record.sent.next_at(now, share, WINDOW) {
             Some(at) if at <= now => SendQuota::Free,
@@ -95,20 +103,20 @@
         }
     }
 
-    /// A request is sent to an upstream.
-    pub fn record_sent(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
-        if let Some(record) = self.by_start.get_mut(start) {
+    /// Counts a request sent to an upstream.
+    pub fn record_sent(&mut self, now: MonoTime, incarnation: &UpstreamIncarnation) {
+        if let Some(record) = self.by_incarnation.get_mut(incarnation) {
             record.record_sent(now);
         }
     }
 
-    /// Those that may be cold.
+    /// The upstreams that may be warming up.
     pub fn incarnations(&self) -> impl Iterator<Item = &UpstreamIncarnation> {
-        self.by_start.keys()
+        self.by_incarnation.keys()
     }
 
-    /// Forgets upstreams that are warm or gone.
+    /// Drops upstreams for which `is_cold` is false: those that are warm or gone.
     pub fn retain(&mut self, mut is_cold: impl FnMut(&UpstreamIncarnation) -> bool) {
-        self.by_start.retain(|start, _| is_cold(start));
+        self.by_incarnation.retain(|incarnation, _| is_cold(incarnation));
     }
 }
--- a/crates/policy/src/fleet_bound/fleet.rs
+++ b/crates/policy/src/fleet_bound/fleet.rs
@@ -1,4 +1,4 @@
-//! The entries among which an upstream's requests are divided.
+//! The gateways among which the requests to an upstream are divided.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,60 +12,58 @@
 use super::rank::RankCache;
 use crate::balance::UpstreamKey;
 
-/// An entry that is new counts itself in only so long after it has listed itself: until then some
-/// of the others may still divide among themselves alone. News of the list take up to 2 s.
-const COUNTED_AFTER: Duration = Duration::from_secs(3);
+/// A new gateway uses its share only this long after it has listed itself: until then peers may still
+/// divide the bound among themselves alone. A change of the list takes up to 2 s to reach them.
+const LISTING_DELAY: Duration = Duration::from_secs(3);
 
-/// The longest that a request counts which an earlier process on this host may have sent just before
-/// the start of this one.
-const EARLIER_PROCESS_COUNTS: Duration = Duration::from_millis(1_100);
+/// How long requests count that an earlier process on this host may have sent just before this one started.
+const PREDECESSOR_WINDOW: Duration = Duration::from_millis(1_100);
 
-/// The entries of the system, as one of them knows them.
+/// The gateways of the system, as one of them knows them.
 #[derive(Debug)]
 pub struct Fleet {
-    own: u64,
-    entries: BTreeMap<HostId, u64>,
-    /// From when on it counts itself. Not at once after the start of its clock: an earlier process on
-    /// its host may have used its part just before.
-    counted_from: MonoTime,
-    /// Rises with each change.
+    local: u64,
+    gateways: BTreeMap<HostId, u64>,
+    /// When this gateway may begin to use its share. Later than the start of its clock, as an earlier
+    /// process on its host may have used the share just before.
+    usable_from: MonoTime,
+    /// Increases with each change; invalidates cached ranks.
     generation: u64,
 }
 
 impl Fleet {
-    /// Nobody is known yet, not even the entry itself: it may be one of hundreds.
-    pub fn new(own: &HostId) -> Self {
+    /// Starts with no gateway known, not even this one: it may be one of hundreds.
+    pub fn new(local: &HostId) -> Self {
         Self {
-            own: hash_of(own),
-            entries: BTreeMap::new(),
-            counted_from: MonoTime::default().after(EARLIER_PROCESS_COUNTS),
+            local: hash_of(local),
+            gateways: BTreeMap::new(),
+            usable_from: MonoTime::default().after(PREDECESSOR_WINDOW),
             generation: 0,
         }
     }
 
-    /// An entry is listed.
+    /// Adds a listed gateway.
     pub fn add_gateway(&mut self, host: HostId) {
         let hash = hash_of(&host);
-        if self.entries.insert(host, hash).is_none() {
+        if self.gateways.insert(host, hash).is_none() {
             self.generation += 1;
         }
     }
 
-    /// This entry is about to list itself. Nothing changes if it is listed already, by an earlier
-    /// process on its host: the others count it.
+    /// Notes that this gateway is about to list itself. Has no effect if an earlier process on its host
+    /// is still listed: peers already count it.
     pub fn announce_self(&mut self, now: MonoTime) {
-        if !self.entries.values().any(|hash| *hash == self.own) {
-            self.counted_from = now.after(COUNTED_AFTER);
+        if !self.gateways.values().any(|hash| *hash == self.local) {
+            self.usable_from = now.after(LISTING_DELAY);
         }
     }
 
-    /// How many entries are listed.
+    /// Number of listed gateways.
     pub(crate) fn len(&self) -> u32 {
-        u32::try_from(self.entries.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.gateways.len()).unwrap_or(u32::MAX)
     }
 
-    /// Where this entry stands among all for a start of an upstream; none while it is not listed, or
-    /// the others may not count it yet.
+    /// The rank of this gateway for an upstream; none while it is not listed or peers may not count it yet.
     pub(crate) fn rank_for(
         &self,
         now: MonoTime,
@@ -73,19 +71,19 @@
         cache: &RankCache,
     ) -> Option<Rank> {
         let rank = cache.get(self.generation, || self.rank(upstream));
-        rank.filter(|_| now >= self.counted_from)
+        rank.filter(|_| now >= self.usable_from)
     }
 
-    /// Where this entry stands among all for an upstream, by a hash; none while it is not listed.
-    /// Each entry that comes or goes moves the others by one place at most.
+    /// The rank of this gateway for an upstream by rendezvous hashing; none while it is not listed. A
+    /// gateway that joins or leaves moves every other by at most one rank.
     fn rank(&self, upstream: UpstreamKey) -> Option<Rank> {
         let weight = |hash: u64| xxh3_64_with_seed(&hash.to_le_bytes(), upstream.0);
-        let own = weight(self.own);
+        let local = weight(self.local);
         let mut place = 0;
         let mut is_listed = false;
-        for hash in self.entries.values() {
-            is_listed |= *hash == self.own;
-            place += u32::from(weight(*hash) < own);
+        for hash in self.gateways.values() {
+            is_listed |= *hash == self.local;
+            place += u32::from(weight(*hash) < local);
         }
         is_listed.then_some(Rank { place, entries: self.len() })
     }
--- a/crates/policy/src/fleet_bound/mod.rs
+++ b/crates/policy/src/fleet_bound/mod.rs
@@ -1,7 +1,7 @@
-//! Bounds on what all entries together send to one upstream, with nothing agreed between them.
+//! Fleet-wide bounds on the requests sent to one upstream, without coordination.
 //!
-//! Each entry works out from the list of entries alone which part of the bound is its own: entries
-//! are ranked for each upstream by a hash of both, and those that come first share it.
+//! Each gateway derives its own share of a bound from the list of gateways alone: gateways are ranked for
+//! each upstream by a hash of both, and those with the lowest ranks share the bound.
 
 mod fleet;
 mod rank;
--- a/crates/policy/src/fleet_bound/rank.rs
+++ b/crates/policy/src/fleet_bound/rank.rs
@@ -1,19 +1,19 @@
-//! Where an entry stands among all, and what part that gives it.
+//! The rank of a gateway among all, and the share that follows from it.
 
 use std::cell::Cell;
 
-/// Where an entry stands among all, for one upstream.
+/// The rank of a gateway among all, for one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rank {
-    /// How many come before it.
+    /// Number of gateways ranked before it.
     pub place: u32,
-    /// How many there are.
+    /// Number of all gateways.
     pub entries: u32,
 }
 
 impl Rank {
-    /// What one entry may send of what all may, divided among `max_owners` at most: those that
-    /// come first have the requests that are left over.
+    /// The share of this gateway in `total` requests that are divided among at most `max_owners`
+    /// gateways. The remainder of the division goes to the first ranks, one request each.
     pub fn share(self, total: u32, max_owners: u32) -> u32 {
         let owners = self.entries.min(max_owners).clamp(1, total.max(1));
         if self.place >= owners {
@@ -23,12 +23,12 @@
     }
 }
 
-/// The rank for one upstream, and the generation of the fleet that it holds for.
+/// A cached rank for one upstream, with the generation of the fleet for which it is valid.
 #[derive(Debug, Default)]
 pub(crate) struct RankCache(Cell<Option<(u64, Option<Rank>)>>);
 
 impl RankCache {
-    /// The rank that was worked out for a generation of the fleet, or is by `rank`.
+    /// The rank cached for a generation of the fleet; computes it by `rank` if there is none.
     pub(crate) fn get(&self, generation: u64, rank: impl FnOnce() -> Option<Rank>) -> Option<Rank> {
         match self.0.get() {
             Some((known, rank)) if known == generation => rank,
--- a/crates/policy/src/fleet_bound/send_quota.rs
+++ b/crates/policy/src/fleet_bound/send_quota.rs
@@ -5,23 +5,23 @@
 /// Whether a request may be sent to an upstream now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendQuota {
-    /// Nothing bounds what comes to it: any number may.
+    /// There is no bound: any number of requests may be sent.
     Unbounded,
-    /// There is a bound, and this entry may send it one.
+    /// There is a bound, and this gateway may send a request now.
     Free,
-    /// There is a bound, and this entry may send it one from then on.
+    /// There is a bound, and this gateway may send its next request from then on.
     FreeAt(MonoTime),
-    /// Other entries send it what it takes; this one may do so from then on.
+    /// Other gateways use the whole bound; this one may send a request from then on.
     OthersUntil(MonoTime),
 }
 
 impl SendQuota {
-    /// The place under two bounds at once.
+    /// The quota under two bounds at once: the stricter of both.
     #[must_use]
     pub fn and(self, other: Self) -> Self {
         match (self, other) {
-            (Self::Unbounded, place) | (place, Self::Unbounded) => place,
-            (Self::Free, place) | (place, Self::Free) => place,
+            (Self::Unbounded, quota) | (quota, Self::Unbounded) => quota,
+            (Self::Free, quota) | (quota, Self::Free) => quota,
             (Self::FreeAt(a), Self::FreeAt(b)) => Self::FreeAt(a.max(b)),
             (Self::OthersUntil(a) | Self::FreeAt(a), Self::OthersUntil(b) | Self::FreeAt(b)) => {
                 Self::OthersUntil(a.max(b))
--- a/crates/policy/src/fleet_bound/sent.rs
+++ b/crates/policy/src/fleet_bound/sent.rs
@@ -1,16 +1,16 @@
-//! When an entry has sent requests to one upstream.
+//! The times at which a gateway has sent requests to one upstream.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use stallhoist_core::MonoTime;
 
-/// When an entry has sent requests to one upstream, lately.
+/// A sliding window of the times at which a gateway has sent requests to one upstream.
 #[derive(Debug, Default)]
 pub(crate) struct SentTimes(VecDeque<MonoTime>);
 
 impl SentTimes {
-    /// A request is sent. Forgets those that were sent before a window.
+    /// Records a sent request and drops those older than `window`.
     pub(crate) fn record_sent(&mut self, now: MonoTime, window: Duration) {
         while self.0.front().is_some_and(|first| now.since(*first) >= window) {
             self.0.pop_front();
@@ -18,8 +18,7 @@
         self.0.push_back(now);
     }
 
-    /// When the next request may be sent, if there may be so many in a window; none if there may
-    /// be none at all.
+    /// When the next request may be sent, if `share` requests are allowed per window; none if `share` is 0.
     pub(crate) fn next_at(&self, now: MonoTime, share: u32, window: Duration) -> Option<MonoTime> {
         let share = usize::try_from(share).unwrap_or(usize::MAX);
         if share == 0 {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,10 +1,9 @@
-//! Decisions without input or output: placement, admission, version choice, guard,
-//! limits and retries.
+//! Decision logic without I/O: placement, admission, version choice, load balancing,
+//! rate limits, crash tracking and retries.
 //!
-//! This crate exists so that what is decided can be tested, measured and embedded
-//! without a network. Every function takes the time and the random numbers it
-//! needs, and typed facts; it returns a typed decision. No sockets, no clocks, no
-//! tasks. The same code runs in the daemons, in the tests and in the benches.
+//! Every function takes the current time, any random numbers and its inputs as arguments and
+//! returns a typed decision. It opens no sockets, reads no clock and spawns no tasks, so the
+//! same code runs in the daemons, in tests and in benchmarks without a network.
 
 pub mod admission;
 pub mod balance;
--- a/crates/policy/src/requested_backoffs.rs
+++ b/crates/policy/src/requested_backoffs.rs
@@ -1,5 +1,5 @@
-//! Upstreams that have asked one entry for rest: with a refusal they say for how long they want nothing
-//! from it.
+//! Back-offs that upstreams request: with a rejection, an upstream may state for how long it wants no further
+//! request from this gateway.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,47 +9,48 @@
 
 use crate::fleet_bound::SendQuota;
 
-/// The longest rest that is believed, whatever is asked for: then one request finds out, so that no
-/// upstream is put out by nonsense.
-const LONGEST: Duration = Duration::from_secs(60);
+/// Upper bound on a back-off, whatever the upstream requests. After it one request is sent, so that an
+/// absurd value cannot take an upstream out of use for good.
+const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
-/// The upstreams that have asked this entry for rest.
+/// The upstreams that have requested a back-off from this gateway.
 ///
-/// Unlike the pause after refusals (`balance::health`), which is this entry's own guess and is passed over
-/// when no other upstream is well, a rest that was asked for always holds.
+/// The back-off after rejections (`balance::health`) is this gateway's own estimate and is ignored when no
+/// other upstream is healthy. A requested back-off always applies.
 #[derive(Debug, Default)]
 pub struct RequestedBackoffs {
-    /// Until when, few mostly: each choice looks for each upstream here.
-    by_start: HashMap<UpstreamIncarnation, MonoTime>,
+    /// The end of each back-off. Mostly empty or small: every choice of an upstream looks up each candidate.
+    until_by_incarnation: HashMap<UpstreamIncarnation, MonoTime>,
 }
 
 impl RequestedBackoffs {
-    /// An upstream asks for so much rest. A longer one that it has asked for before still holds, and no
-    /// answer ends it: other requests may have been taken before it was asked for.
-    pub fn asked(&mut self, now: MonoTime, start: &UpstreamIncarnation, rest: Duration) {
-        let until = now.after(rest.min(LONGEST));
-        let known = self.by_start.entry(start.clone()).or_insert(until);
+    /// Records a requested back-off, capped at [`MAX_BACKOFF`]. It never shortens an earlier one, and a
+    /// successful response does not end it: that request may have been accepted before the back-off was
+    /// requested.
+    pub fn record(&mut self, now: MonoTime, incarnation: &UpstreamIncarnation, backoff: Duration) {
+        let until = now.after(backoff.min(MAX_BACKOFF));
+        let known = self.until_by_incarnation.entry(incarnation.clone()).or_insert(until);
         *known = until.max(*known);
     }
 
     /// Whether a request may be sent to an upstream now.
-    pub fn place(&self, now: MonoTime, start: &UpstreamIncarnation) -> SendQuota {
-        if self.by_start.is_empty() {
+    pub fn place(&self, now: MonoTime, incarnation: &UpstreamIncarnation) -> SendQuota {
+        if self.until_by_incarnation.is_empty() {
             return SendQuota::Unbounded;
         }
-        match self.by_start.get(start) {
+        match self.until_by_incarnation.get(incarnation) {
             Some(until) if now < *until => SendQuota::FreeAt(*until),
             _ => SendQuota::Unbounded,
         }
     }
 
-    /// How many have asked for rest that is not over.
+    /// Number of upstreams whose back-off has not ended.
     pub fn count(&self, now: MonoTime) -> usize {
-        self.by_start.values().filter(|until| now < **until).count()
+        self.until_by_incarnation.values().filter(|until| now < **until).count()
     }
 
-    /// Forgets rests that are over.
+    /// Drops back-offs that have ended.
     pub fn expire(&mut self, now: MonoTime) {
-        self.by_start.retain(|_, until| now < *until);
+        self.until_by_incarnation.retain(|_, until| now < *until);
     }
 }
