--- a/crates/policy/src/named_limits/mod.rs
+++ b/crates/policy/src/named_limits/mod.rs
@@ -1,12 +1,14 @@
-//! Upstreams that name a limit: how many requests a second they take from all entries together.
+//! Rate limits that upstreams report: how many requests per second an upstream accepts from all gateways
+//! together.
 //!
-//! The bound is the fleet's, and each entry keeps to its own part of it, which follows from the list
-//! of entries alone. Each keeping to the whole of it sends as many times too much as there are entries.
-//! A limit lasts for as long as answers name it, so it matters which answer is the later one.
+//! Each gateway keeps to its own share, which it derives from the list of gateways alone; if each used the
+//! whole limit, the upstream would get as many times its limit as there are gateways. A limit lasts for as
+//! long as responses report it, so the order of responses matters. `turn_schedule` lets gateways without
+//! a share check one after the other whether the limit still holds.
 
 mod named_limit;
 mod record;
-mod turns;
+mod turn_schedule;
 mod upstreams;
 
 pub use named_limit::NamedLimit;
--- a/crates/policy/src/named_limits/named_limit.rs
+++ b/crates/policy/src/named_limits/named_limit.rs
@@ -1,16 +1,16 @@
-//! What an answer says of an upstream's limit.
+//! The rate limit that a response reports.
 
 use stallhoist_core::RequestRate;
 
-/// What an answer says of how many requests its upstream takes from all entries together.
+/// What a response reports of the rate limit of its upstream, which applies to all gateways together.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum NamedLimit {
-    /// Nothing: there is none.
+    /// No limit is reported: there is none.
     #[default]
     Unsaid,
-    /// Nothing that tells whether there is one: what stands there cannot be read, or the upstream refused
-    /// the request without naming one, which is no sign that it is out of need.
+    /// It is unclear whether there is a limit: the value cannot be parsed, or the upstream rejected the
+    /// request without reporting one, which does not mean that it can take more.
     Unknown,
-    /// So many a second.
+    /// A limit in requests per second.
     Of(RequestRate),
 }
--- a/crates/policy/src/named_limits/record.rs
+++ b/crates/policy/src/named_limits/record.rs
@@ -1,106 +1,112 @@
-//! What is known of the limit of one upstream.
+//! The state kept for the rate limit of one upstream.
 
 use std::time::Duration;
 
 use stallhoist_core::MonoTime;
 use stallhoist_core::RequestRate;
 
-use super::turns::Turns;
+use super::turn_schedule::TurnSchedule;
 use crate::balance::UpstreamKey;
 use crate::fleet_bound::Fleet;
 use crate::fleet_bound::RankCache;
 use crate::fleet_bound::SendQuota;
 use crate::fleet_bound::SentTimes;
 
-/// Requests count together that were sent within this time. Longer than the four seconds within which
-/// upstreams count, as one request may take longer on its way than the next.
+/// The span over which requests are counted. Longer than the four seconds over which upstreams count,
+/// because network delay may bring requests closer together on arrival.
 const WINDOW: Duration = Duration::from_millis(4_400);
 
-/// The window of the smallest limits, and of a limit of nothing: no upstream is out for good.
-const LONGEST_WINDOW: Duration = Duration::from_secs(20);
+/// The window for the smallest limits and for a limit of zero, so that no upstream is out of use for good.
+const MAX_WINDOW: Duration = Duration::from_secs(20);
 
-/// How long after it was learnt others are told: all have heard of it by then.
-const TELL_FOR: Duration = Duration::from_secs(3);
+/// How long a change is sent to peers; all of them have received it by then.
+const PUBLISH_FOR: Duration = Duration::from_secs(3);
 
-/// What is told is news only if it is later by this, where it says what is known already: else two
-/// entries would tell each other for ever.
-const NEWS_AFTER: Duration = Duration::from_millis(500);
+/// An update from a peer that repeats the known limit is applied only if it is newer by this much:
+/// otherwise two gateways would send it back and forth forever.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What entries tell each other of an upstream's limit.
+/// An update on an upstream's rate limit, exchanged between gateways.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitUpdate {
-    /// The limit; none when it is over.
+    /// The limit; none when it no longer applies.
     pub limit: Option<RequestRate>,
-    /// How long ago it was so.
+    /// Time since the state was observed.
     pub age: Duration,
 }
 
-/// What is known of the limit of one upstream.
+/// The state kept for the rate limit of one upstream.
 #[derive(Debug, Default)]
 pub(super) struct Record {
-    /// None when it is over: what was sent still counts if another one is named.
+    /// None when no limit applies. The record is kept, as requests sent before count under the next limit.
     limit: Option<RequestRate>,
     as_of: MonoTime,
-    /// When this entry learnt it.
-    learnt: MonoTime,
-    /// When others told it last, or the first answer did.
-    told: MonoTime,
+    /// When this gateway last updated the state.
+    updated: MonoTime,
+    /// When a peer last confirmed the limit, or a response first reported it.
+    confirmed: MonoTime,
     sent: SentTimes,
     last_sent: Option<MonoTime>,
     rank: RankCache,
 }
 
 impl Record {
-    /// An answer names a limit. One that may be older than the last word must not raise it.
-    pub(super) fn named(&mut self, now: MonoTime, sent: MonoTime, named: RequestRate) -> bool {
-        let is_raised = self.limit.is_some_and(|known| named > known);
+    /// Stores the limit that a response reports and returns whether it differs. A response that may be
+    /// older than the known state, as its request was sent before that, must not raise the limit.
+    pub(super) fn record_limit(
+        &mut self,
+        now: MonoTime,
+        sent: MonoTime,
+        reported: RequestRate,
+    ) -> bool {
+        let is_raised = self.limit.is_some_and(|known| reported > known);
         if is_raised && sent < self.as_of {
             return false;
         }
-        self.learn(now, now, Some(named))
+        self.update(now, now, Some(reported))
     }
 
-    /// An answer names none.
-    pub(super) fn named_none(&mut self, now: MonoTime, sent: MonoTime) -> bool {
-        sent >= self.as_of && self.learn(now, sent, None)
+    /// Drops the limit on a response without one, unless that response may be older than the known state.
+    pub(super) fn record_no_limit(&mut self, now: MonoTime, sent: MonoTime) -> bool {
+        sent >= self.as_of && self.update(now, sent, None)
     }
 
-    pub(super) fn apply_peer_update(&mut self, now: MonoTime, told: LimitUpdate) -> bool {
-        let as_of = now.before(told.age);
-        let is_news = if told.limit == self.limit {
-            as_of > self.as_of.after(NEWS_AFTER)
+    pub(super) fn apply_peer_update(&mut self, now: MonoTime, update: LimitUpdate) -> bool {
+        let as_of = now.before(update.age);
+        let is_newer = if update.limit == self.limit {
+            as_of > self.as_of.after(MIN_REFRESH_INTERVAL)
         } else {
             as_of > self.as_of
         };
-        if is_news {
-            self.told = as_of;
+        if is_newer {
+            self.confirmed = as_of;
         }
-        is_news && self.learn(now, as_of, told.limit)
+        is_newer && self.update(now, as_of, update.limit)
     }
 
-    fn learn(&mut self, now: MonoTime, as_of: MonoTime, limit: Option<RequestRate>) -> bool {
-        let is_another = self.limit != limit;
-        if is_another {
-            self.told = now;
+    fn update(&mut self, now: MonoTime, as_of: MonoTime, limit: Option<RequestRate>) -> bool {
+        let has_changed = self.limit != limit;
+        if has_changed {
+            self.confirmed = now;
         }
         self.limit = limit;
         self.as_of = as_of;
-        self.learnt = now;
-        is_another
+        self.updated = now;
+        has_changed
     }
 
-    /// One of which nothing was known before another entry told it.
-    pub(super) fn first_told(now: MonoTime, told: LimitUpdate) -> Self {
-        let as_of = now.before(told.age);
-        Self { limit: told.limit, as_of, learnt: now, told: as_of, ..Self::default() }
+    /// A record for an upstream whose limit is known from a peer only.
+    pub(super) fn from_peer_update(now: MonoTime, update: LimitUpdate) -> Self {
+        let as_of = now.before(update.age);
+        Self { limit: update.limit, as_of, updated: now, confirmed: as_of, ..Self::default() }
     }
 
-    /// Whether this entry has learnt it lately.
-    pub(super) fn is_news(&self, now: MonoTime) -> bool {
-        now.since(self.learnt) < TELL_FOR
+    /// Whether the state was updated recently enough to be sent to peers.
+    pub(super) fn is_recent(&self, now: MonoTime) -> bool {
+        now.since(self.updated) < PUBLISH_FOR
     }
 
-    pub(super) fn peer_updates(&self, now: MonoTime) -> LimitUpdate {
+    pub(super) fn peer_update(&self, now: MonoTime) -> LimitUpdate {
         LimitUpdate { limit: self.limit, age: now.since(self.as_of) }
     }
 
@@ -113,7 +119,7 @@
     }
 
     pub(super) fn record_sent(&mut self, now: MonoTime) {
-        let window = self.limit.map_or(LONGEST_WINDOW, |limit| allowance(limit).1);
+        let window = self.limit.map_or(MAX_WINDOW, |limit| allowance(limit).1);
         self.sent.record_sent(now, window);
         self.last_sent = Some(now);
     }
@@ -129,18 +135,18 @@
             Some(at) if at <= now => SendQuota::Free,
             Some(at) => SendQuota::FreeAt(at),
             None => {
-                let turns = Turns::new(fleet.len(), total, window / total);
-                turns.place(now, self.told, self.last_sent, rank)
+                let schedule = TurnSchedule::new(fleet.len(), total, window / total);
+                schedule.place(now, self.confirmed, self.last_sent, rank)
             }
         }
     }
 }
 
-/// What all entries together may send in which time: what the upstream takes, and one request at
-/// least. The platform lets through half as much again and five requests more; that is left for entries
-/// whose lists differ for a moment, and for requests that are held up on their way.
+/// Number of requests that all gateways together may send, and the window for them: as many as the limit
+/// allows, and at least one. The platform accepts 1.5 times the limit plus five requests; that margin is left
+/// for gateways whose lists differ for a moment and for delayed requests.
 fn allowance(limit: RequestRate) -> (u32, Duration) {
     let total = ((limit.per_s() * WINDOW.as_secs_f64()) as u32).max(1);
     let window = Duration::try_from_secs_f64(f64::from(total) / limit.per_s());
-    (total, window.unwrap_or(LONGEST_WINDOW).clamp(WINDOW, LONGEST_WINDOW))
+    (total, window.unwrap_or(MAX_WINDOW).clamp(WINDOW, MAX_WINDOW))
 }
--- a/crates/policy/src/named_limits/upstreams.rs
+++ b/crates/policy/src/named_limits/upstreams.rs
@@ -1,4 +1,4 @@
-//! The limits that upstreams have named, as one entry knows them.
+//! The rate limits that upstreams have reported, as one gateway knows them.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -15,115 +15,120 @@
 use crate::fleet_bound::Fleet;
 use crate::fleet_bound::SendQuota;
 
-/// How long what is known of an upstream's limit is kept after the last word of it. Not until its
-/// entry in the list goes, since that comes back after an outage of the store.
-const KEPT_FOR: Duration = Duration::from_secs(600);
+/// Time to live of a limit after its last report. The record outlives the upstream's row in the list, as
+/// rows disappear and come back around an outage of the store.
+const LIMIT_TTL: Duration = Duration::from_secs(600);
 
-/// The most upstreams of which others may tell, whatever they say.
-const MAX_TOLD: usize = 2_000;
+/// Upper bound on the number of records: updates from peers add none beyond it.
+const MAX_FROM_PEERS: usize = 2_000;
 
-/// From so many requests a second on a limit bounds nothing: more than come to one upstream.
-const BOUNDS_NOTHING_PER_S: f64 = 10_000.0;
+/// A limit of this many requests per second or more counts as none: no upstream gets as many.
+const UNBOUNDED_PER_S: f64 = 10_000.0;
 
-/// The limits that upstreams have named, as one entry knows them.
+/// The rate limits that upstreams have reported, as one gateway knows them.
 ///
-/// | word | the limit is | as of |
+/// | source | resulting limit | as of |
 /// | --- | --- | --- |
-/// | an answer names one | that, unless it is larger and may be older than the last word | when the answer came |
-/// | an answer names none | over, unless the answer may be older than the last word | when its request was sent |
-/// | what it names cannot be read, or a refusal names none | as it was | as it was |
-/// | another entry tells | what it tells, if that is as of later | as it tells |
+/// | a response with a limit | that limit, unless it is larger and the response may be older than the state | arrival of the response |
+/// | a response without a limit | none, unless the response may be older than the state | sending of its request |
+/// | a limit that cannot be parsed, or a rejection without one | unchanged | unchanged |
+/// | an update from a peer | the peer's, if its time is later | the peer's |
 #[derive(Debug, Default)]
 pub struct NamedLimits {
-    /// Those that have named one lately, few mostly: each choice looks for each upstream here.
+    /// Upstreams with a recent limit. Mostly small: every choice looks up each candidate.
     by_upstream: HashMap<UpstreamKey, Record>,
 }
 
 impl NamedLimits {
-    /// An answer of an upstream to a request that was sent then came. Says whether another limit,
-    /// or none, is known since.
+    /// Stores what a response to a request sent at `sent` reports of its upstream's limit. Returns whether
+    /// the known limit has changed.
     pub fn record_report(
         &mut self,
         now: MonoTime,
-        start: &UpstreamIncarnation,
+        incarnation: &UpstreamIncarnation,
         sent: MonoTime,
-        named: NamedLimit,
+        reported: NamedLimit,
     ) -> bool {
-        let upstream = UpstreamKey::of(start);
-        let limit = match named {
+        let upstream = UpstreamKey::of(incarnation);
+        let limit = match reported {
             NamedLimit::Unknown => return false,
-            NamedLimit::Of(limit) if limit.per_s() < BOUNDS_NOTHING_PER_S => limit,
+            NamedLimit::Of(limit) if limit.per_s() < UNBOUNDED_PER_S => limit,
             NamedLimit::Of(_) | NamedLimit::Unsaid => {
                 let record = self.by_upstream.get_mut(&upstream);
-                return record.is_some_and(|record| record.named_none(now, sent));
+                return record.is_some_and(|record| record.record_no_limit(now, sent));
             }
         };
-        self.by_upstream.entry(upstream).or_default().named(now, sent, limit)
+        self.by_upstream.entry(upstream).or_default().record_limit(now, sent, limit)
     }
 
-    /// Another entry tells what it knows of an upstream, which may not be listed here yet. Says whether
-    /// that is another limit.
+    /// Merges an update from a peer, possibly on an upstream that is not listed here yet. Returns whether
+    /// the known limit has changed.
     pub fn apply_peer_update(
         &mut self,
         now: MonoTime,
         upstream: UpstreamKey,
-        told: LimitUpdate,
+        update: LimitUpdate,
     ) -> bool {
-        let has_room = self.by_upstream.len() < MAX_TOLD;
+        let has_room = self.by_upstream.len() < MAX_FROM_PEERS;
         match self.by_upstream.entry(upstream) {
-            Entry::Occupied(mut known) => known.get_mut().apply_peer_update(now, told),
-            Entry::Vacant(new) if told.limit.is_some() && has_room => {
-                new.insert(Record::first_told(now, told));
+            Entry::Occupied(mut known) => known.get_mut().apply_peer_update(now, update),
+            Entry::Vacant(new) if update.limit.is_some() && has_room => {
+                new.insert(Record::from_peer_update(now, update));
                 true
             }
             Entry::Vacant(_) => false,
         }
     }
 
-    /// What other entries should know: what this one has learnt lately.
+    /// Updates to send to peers: all that changed or were confirmed recently.
     pub fn peer_updates(&self, now: MonoTime) -> impl Iterator<Item = (UpstreamKey, LimitUpdate)> {
-        let news = self.by_upstream.iter().filter(move |(_, record)| record.is_news(now));
-        news.map(move |(upstream, record)| (*upstream, record.peer_updates(now)))
+        let recent = self.by_upstream.iter().filter(move |(_, record)| record.is_recent(now));
+        recent.map(move |(upstream, record)| (*upstream, record.peer_update(now)))
     }
 
-    /// What an entry that starts should know: all limits that hold.
+    /// Updates to send to a peer that has just started: all limits that apply.
     pub fn startup_peer_updates(
         &self,
         now: MonoTime,
     ) -> impl Iterator<Item = (UpstreamKey, LimitUpdate)> {
-        let hold = self.by_upstream.iter().filter(|(_, record)| record.limit().is_some());
-        hold.map(move |(upstream, record)| (*upstream, record.peer_updates(now)))
+        let limited = self.by_upstream.iter().filter(|(_, record)| record.limit().is_some());
+        limited.map(move |(upstream, record)| (*upstream, record.peer_update(now)))
     }
 
-    /// Whether one of these entries may send a request to an upstream now.
-    pub fn place(&self, now: MonoTime, start: &UpstreamIncarnation, fleet: &Fleet) -> SendQuota {
+    /// Whether this gateway, one of `fleet`, may send a request to an upstream now.
+    pub fn place(
+        &self,
+        now: MonoTime,
+        incarnation: &UpstreamIncarnation,
+        fleet: &Fleet,
+    ) -> SendQuota {
         if self.by_upstream.is_empty() {
             return SendQuota::Unbounded;
         }
-        let upstream = UpstreamKey::of(start);
+        let upstream = UpstreamKey::of(incarnation);
         let record = self.by_upstream.get(&upstream);
         record.map_or(SendQuota::Unbounded, |record| record.place(now, upstream, fleet))
     }
 
-    /// A request is sent to an upstream.
-    pub fn record_sent(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
-        if let Some(record) = self.by_upstream.get_mut(&UpstreamKey::of(start)) {
+    /// Counts a request sent to an upstream.
+    pub fn record_sent(&mut self, now: MonoTime, incarnation: &UpstreamIncarnation) {
+        if let Some(record) = self.by_upstream.get_mut(&UpstreamKey::of(incarnation)) {
             record.record_sent(now);
         }
     }
 
-    /// The limit of an upstream, if it has one.
-    pub fn limit(&self, start: &UpstreamIncarnation) -> Option<RequestRate> {
-        self.by_upstream.get(&UpstreamKey::of(start))?.limit()
+    /// The rate limit of an upstream, if one applies.
+    pub fn limit(&self, incarnation: &UpstreamIncarnation) -> Option<RequestRate> {
+        self.by_upstream.get(&UpstreamKey::of(incarnation))?.limit()
     }
 
-    /// How many upstreams have one.
+    /// Number of upstreams with a limit.
     pub fn count(&self) -> usize {
         self.by_upstream.values().filter(|record| record.limit().is_some()).count()
     }
 
-    /// Forgets what is too old.
+    /// Drops limits whose time to live has passed.
     pub fn expire(&mut self, now: MonoTime) {
-        self.by_upstream.retain(|_, record| now.since(record.as_of()) < KEPT_FOR);
+        self.by_upstream.retain(|_, record| now.since(record.as_of()) < LIMIT_TTL);
     }
 }
--- a/tests/all/decisions/cold.rs
+++ b/tests/all/decisions/cold.rs
@@ -1,8 +1,8 @@
-//! How many requests may be sent to an upstream that is cold.
+//! The rate of requests to an upstream that is warming up.
 //!
-//! What users saw: upstreams of a zone that came back together got 34 to 48 requests in one second
-//! each, where 32 are borne. The cause: one that comes back has nothing to do, and was the best
-//! choice of 21 entries at once; nothing told that it was cold.
+//! Guards against overload after the restart of a whole availability zone: a restarted upstream is idle and
+//! thus the best choice of every gateway at once. With 21 gateways and no bound, each upstream got 34 to 48
+//! requests in one second, where it handles 32.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 
 use super::at_ms;
 
-/// The entry is as old as this: long enough to use its part at once.
+/// Age of the gateway's process at time 0 of a test: old enough to use its share at once.
 const AGE_MS: u64 = 2_000;
 
 const BOUND: ColdBound = ColdBound { overage: 1.5, slack: 5.0, max_owners: u32::MAX };
@@ -31,21 +31,21 @@
 }
 
 fn host(number: usize) -> HostId {
-    format!("host-{number}").parse().expect("a name")
+    format!("host-{number}").parse().expect("a valid host id")
 }
 
 fn start(name: &str) -> UpstreamIncarnation {
-    name.parse().expect("a start")
+    name.parse().expect("a valid incarnation")
 }
 
-/// What one entry knows.
+/// The state of one gateway.
 struct Entry {
     cold: ColdUpstreams,
     fleet: Fleet,
 }
 
 impl Entry {
-    /// One that knows so many entries.
+    /// A gateway that knows this many gateways.
     fn knowing(number: usize, entries: usize) -> Self {
         let mut fleet = Fleet::new(&host(number));
         (0..entries).for_each(|other| fleet.add_gateway(host(other)));
@@ -57,7 +57,7 @@
     }
 }
 
-/// One of so many entries, all of which know each other.
+/// One of several gateways, all of which know each other.
 fn entry(number: usize, entries: usize) -> Entry {
     Entry::knowing(number, entries)
 }
@@ -66,13 +66,13 @@
     entry.place(at(ms), &start("i-1"))
 }
 
-/// After an upstream said this at 1,000 ms, it is cold for just so long.
+/// After a report at 1,000 ms, the upstream is warming up for exactly the expected time.
 macro_rules! is_cold {
-    ($name:ident, $told:expr, $for_ms:expr) => {
+    ($name:ident, $reported:expr, $for_ms:expr) => {
         #[test]
         fn $name() {
             let mut entry = entry(0, 1);
-            entry.cold.record_report(at(1_000), &start("i-1"), $told);
+            entry.cold.record_report(at(1_000), &start("i-1"), $reported);
             let last_cold = 1_000 + $for_ms - 1;
             assert!($for_ms == 0 || place(&entry, last_cold) != SendQuota::Unbounded);
             assert_eq!(place(&entry, 1_000 + $for_ms), SendQuota::Unbounded);
@@ -80,13 +80,13 @@
     };
 }
 
-is_cold!(one_that_says_how_long, ReportedCold::For(Duration::from_millis(2_500)), 2_500);
-is_cold!(one_that_is_warm, ReportedCold::For(Duration::ZERO), 0);
-is_cold!(one_that_says_nothing_is_cold_from_its_start, ReportedCold::Unsaid, 3_000);
-is_cold!(one_that_cannot_be_read_likewise, ReportedCold::Unreadable, 3_000);
-is_cold!(nobody_is_cold_for_ever, ReportedCold::For(Duration::MAX), 60_000);
+is_cold!(a_reported_time_applies, ReportedCold::For(Duration::from_millis(2_500)), 2_500);
+is_cold!(a_reported_zero_means_warm, ReportedCold::For(Duration::ZERO), 0);
+is_cold!(without_a_report_the_default_applies, ReportedCold::Unsaid, 3_000);
+is_cold!(an_unreadable_report_means_the_default, ReportedCold::Unreadable, 3_000);
+is_cold!(a_warm_up_is_capped, ReportedCold::For(Duration::MAX), 60_000);
 
-/// What all entries together may send in a second to an upstream that bears so many.
+/// Requests per second that all gateways together may send to an upstream of a given capacity.
 macro_rules! fleet_per_s {
     ($name:ident, $per_s:expr, $overage:expr, $slack:expr, $expected:expr) => {
         #[test]
@@ -98,25 +98,25 @@
     };
 }
 
-fleet_per_s!(a_tenth_is_kept_back, 18.0, 1.5, 5.0, 28);
-fleet_per_s!(the_slack_alone, 0.0, 1.5, 5.0, 4);
-fleet_per_s!(what_bears_nothing_gets_one, 0.0, 0.0, 0.0, 1);
-fleet_per_s!(nonsense_gets_one, -10.0, 1.5, 0.0, 1);
-fleet_per_s!(not_a_number_gets_one, f64::NAN, 1.5, f64::NAN, 1);
+fleet_per_s!(a_tenth_is_reserved, 18.0, 1.5, 5.0, 28);
+fleet_per_s!(no_capacity_leaves_the_slack, 0.0, 1.5, 5.0, 4);
+fleet_per_s!(a_zero_bound_becomes_one, 0.0, 0.0, 0.0, 1);
+fleet_per_s!(a_negative_capacity_becomes_one, -10.0, 1.5, 0.0, 1);
+fleet_per_s!(not_a_number_becomes_one, f64::NAN, 1.5, f64::NAN, 1);
 
 #[test]
-fn the_same_words_read_again_do_not_make_it_cold_once_more() {
+fn a_row_with_the_same_report_does_not_restart_the_warm_up() {
     let mut entry = entry(0, 1);
-    let told = ReportedCold::For(Duration::from_millis(2_500));
-    entry.cold.record_report(at(0), &start("i-1"), told);
-    entry.cold.record_row(at(2_000), &start("i-1"), told);
+    let reported = ReportedCold::For(Duration::from_millis(2_500));
+    entry.cold.record_report(at(0), &start("i-1"), reported);
+    entry.cold.record_row(at(2_000), &start("i-1"), reported);
     assert_eq!(place(&entry, 2_500), SendQuota::Unbounded);
-    entry.cold.record_report(at(5_000), &start("i-1"), told);
+    entry.cold.record_report(at(5_000), &start("i-1"), reported);
     assert_eq!(place(&entry, 5_000), SendQuota::Free);
 }
 
 #[test]
-fn one_that_is_taken_back_into_use_may_have_turned_cold() {
+fn a_restored_upstream_warms_up_again_until_it_reports_otherwise() {
     let mut entry = entry(0, 1);
     entry.cold.record_report(at(0), &start("i-1"), ReportedCold::For(Duration::ZERO));
     entry.cold.mark_back_in_use(at(9_000), &start("i-1"));
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_single_entry_sends_what_is_borne_and_then_waits() {
+fn a_single_gateway_uses_the_whole_bound_and_then_waits() {
     let mut entry = entry(0, 1);
     entry.cold.record_report(at(0), &start("i-1"), ReportedCold::Unsaid);
     for _ in 0..28 {
@@ -147,9 +147,9 @@
     assert_eq!(place(&entry, 1_200), SendQuota::Free);
 }
 
-/// Until the others count it, they divide all that there is among themselves.
+/// Until its peers count it, they divide the whole bound among themselves.
 #[test]
-fn an_entry_that_is_new_sends_nothing_until_the_others_count_it() {
+fn a_new_gateway_sends_nothing_until_its_peers_count_it() {
     let mut entry = Entry::knowing(7, 0);
     entry.cold.record_report(at(0), &start("i-1"), ReportedCold::For(Duration::from_secs(20)));
     let others = SendQuota::OthersUntil(at(20_000));
@@ -162,18 +162,18 @@
     assert_eq!(place(&entry, 3_200), SendQuota::Free);
 }
 
-/// Its host was listed by an earlier process, and the others have counted it all the while.
+/// An earlier process listed its host, and its peers have counted it since.
 #[test]
-fn an_entry_that_starts_again_sends_at_once() {
+fn a_gateway_that_an_earlier_process_listed_need_not_wait() {
     let mut entry = entry(2, 3);
     entry.fleet.announce_self(at(200));
     entry.cold.record_report(at(200), &start("i-1"), ReportedCold::Unsaid);
     assert_eq!(place(&entry, 200), SendQuota::Free);
 }
 
-/// The earlier process may have used the entry's part just before it ended.
+/// An earlier process may have used the gateway's share just before it ended.
 #[test]
-fn an_entry_that_has_just_started_sends_nothing_in_its_first_second() {
+fn a_restarted_gateway_sends_nothing_in_its_first_second() {
     let mut entry = entry(2, 3);
     entry.cold.record_report(at_ms(0), &start("i-1"), ReportedCold::Unsaid);
     let place = |ms| entry.place(at_ms(ms), &start("i-1"));
@@ -181,7 +181,8 @@
     assert_eq!(place(1_100), SendQuota::Free);
 }
 
-/// What all of so many entries would send in a second to an upstream, each as much as it may.
+/// Number of requests that all gateways together send to an upstream in a second, each using its whole
+/// share; `known` gives the number of gateways that each one knows.
 fn sent_in_a_second(entries: usize, known: impl Fn(usize) -> usize, upstream: &str) -> usize {
     let sent_by = |number: usize| {
         let mut entry = Entry::knowing(number, known(number));
@@ -197,7 +198,7 @@
     (0..entries).map(sent_by).sum()
 }
 
-/// So many entries that know each other use all that may be sent, and no more.
+/// Gateways that all know each other use exactly the whole bound.
 macro_rules! divided {
     ($name:ident, $entries:expr) => {
         #[test]
@@ -217,10 +218,10 @@
 divided!(divided_among_300, 300);
 
 proptest! {
-    /// Entries come, and some of the others have heard of them and some have not: as the new ones
-    /// wait until they are counted, no more is sent than before.
+    /// New gateways are known to some peers and not to others. As the new ones wait until all peers count
+    /// them, the bound still holds.
     #[test]
-    fn entries_whose_lists_differ_send_no_more(
+    fn gateways_with_different_lists_keep_to_the_bound(
         entries in 1_usize..60,
         known_newcomers in proptest::collection::vec(0_usize..40, 60),
         upstream in 0_u32..1_000,
@@ -230,7 +231,7 @@
         prop_assert!(sent <= 28, "{sent} were sent");
     }
 
-    /// The shares of all ranks add up, and those that come first have the larger ones.
+    /// The shares of all ranks add up to the bound, and lower ranks never have smaller shares.
     #[test]
     fn shares_add_up_to_what_the_fleet_may_send(entries in 1_u32..400, max_owners in 1_u32..40) {
         let bound = ColdBound { max_owners, ..BOUND };
@@ -240,7 +241,7 @@
         prop_assert!(shares.is_sorted_by(|a, b| a >= b));
     }
 
-    /// In no span of a second does one entry send more than its share, whenever it asks.
+    /// In no span of a second does one gateway send more than its share, whatever the gaps between requests.
     #[test]
     fn no_second_has_more_than_the_share(gaps_ms in proptest::collection::vec(0_u64..200, 200)) {
         let mut entry = entry(0, 3);
--- a/tests/all/decisions/mod.rs
+++ b/tests/all/decisions/mod.rs
@@ -1,4 +1,4 @@
-//! The gateway's decisions, with the time and the random numbers given.
+//! Tests of the gateway's decision logic, with time and random numbers as inputs.
 
 mod balance;
 mod cold;
@@ -32,12 +32,12 @@
 use stallhoist_core::StoreEra;
 use stallhoist_core::StoreVersion;
 
-/// A version that the store gave out after it had come back from a copy.
+/// A store version of the era after the store was restored from a copy.
 fn later(number: u64) -> StoreVersion {
     StoreVersion { era: StoreEra(1), number }
 }
 
-/// A point in time, in milliseconds since the start.
+/// A point in time, in milliseconds since the start of the clock.
 fn at_ms(ms: u64) -> MonoTime {
     MonoTime::default().after(Duration::from_millis(ms))
 }
--- a/tests/all/decisions/named_limits.rs
+++ b/tests/all/decisions/named_limits.rs
@@ -1,4 +1,4 @@
-//! What one entry may send to an upstream that names a limit, and what ends a limit.
+//! The quota of one gateway at an upstream that reports a rate limit, and the events that end a limit.
 
 use std::time::Duration;
 
@@ -16,29 +16,29 @@
 
 use super::at_ms;
 
-/// The entry is as old as this: long enough to use its part at once.
+/// Age of the gateway's process at time 0 of a test: old enough to use its share at once.
 const AGE_MS: u64 = 2_000;
 
-/// An entry that has no part asks by itself after so long without a word.
-const QUIET_MS: u64 = 10_000;
+/// Time without an update after which a gateway without a share sends a request of its own.
+const UPDATE_TIMEOUT_MS: u64 = 10_000;
 
 fn at(ms: u64) -> MonoTime {
     at_ms(AGE_MS + ms)
 }
 
 fn host(number: usize) -> HostId {
-    format!("host-{number}").parse().expect("a name")
+    format!("host-{number}").parse().expect("a valid host id")
 }
 
 fn start() -> UpstreamIncarnation {
-    "i-1".parse().expect("a start")
+    "i-1".parse().expect("a valid incarnation")
 }
 
 fn rate(per_s: f64) -> RequestRate {
-    RequestRate::from_per_s(per_s).expect("a rate")
+    RequestRate::from_per_s(per_s).expect("a valid rate")
 }
 
-/// One of so many entries, all of which know each other.
+/// One of several gateways, all of which know each other.
 struct Entry {
     limits: NamedLimits,
     fleet: Fleet,
@@ -51,18 +51,18 @@
         Self { limits: NamedLimits::default(), fleet }
     }
 
-    /// The same, which has heard of a limit at the beginning.
+    /// The same with a limit reported at time 0.
     fn limited(number: usize, entries: usize, per_s: f64) -> Self {
         let mut entry = Self::of(number, entries);
-        entry.names(0, 0, per_s);
+        entry.report(0, 0, per_s);
         entry
     }
 
-    fn names(&mut self, ms: u64, sent_ms: u64, per_s: f64) -> bool {
+    fn report(&mut self, ms: u64, sent_ms: u64, per_s: f64) -> bool {
         self.limits.record_report(at(ms), &start(), at(sent_ms), NamedLimit::Of(rate(per_s)))
     }
 
-    fn names_none(&mut self, ms: u64, sent_ms: u64) -> bool {
+    fn report_none(&mut self, ms: u64, sent_ms: u64) -> bool {
         self.limits.record_report(at(ms), &start(), at(sent_ms), NamedLimit::Unsaid)
     }
 
@@ -74,7 +74,7 @@
         self.limits.place(at(ms), &start(), &self.fleet)
     }
 
-    /// Sends as many as it may at one moment.
+    /// Sends requests until the quota at one moment is used up. Returns their number.
     fn send_all(&mut self, ms: u64) -> usize {
         let mut sent = 0;
         while self.place(ms) == SendQuota::Free {
@@ -84,17 +84,17 @@
         sent
     }
 
-    /// What it tells others.
-    fn tells(&self, ms: u64) -> Option<LimitUpdate> {
-        self.limits.peer_updates(at(ms)).next().map(|(_, told)| told)
+    /// The update that it would send to peers.
+    fn peer_update(&self, ms: u64) -> Option<LimitUpdate> {
+        self.limits.peer_updates(at(ms)).next().map(|(_, update)| update)
     }
 
-    fn is_told(&mut self, ms: u64, told: LimitUpdate) -> bool {
-        self.limits.apply_peer_update(at(ms), UpstreamKey::of(&start()), told)
+    fn apply_peer_update(&mut self, ms: u64, update: LimitUpdate) -> bool {
+        self.limits.apply_peer_update(at(ms), UpstreamKey::of(&start()), update)
     }
 }
 
-/// So many entries together send this in a window of a limit, and no more.
+/// All gateways together send exactly the expected number of requests in one window of a limit.
 macro_rules! divided {
     ($name:ident, $entries:expr, $per_s:expr, $expected:expr) => {
         #[test]
@@ -114,7 +114,7 @@
 divided!(a_large_one_among_21, 21, 1_000.0, 4_400);
 divided!(a_limit_of_nothing_lets_one_through, 21, 0.0, 1);
 
-/// The time until the next one of a single entry that has used all of a limit.
+/// A single gateway that has used all of a limit may send its next request at the expected time.
 macro_rules! next_after {
     ($name:ident, $per_s:expr, $ms:expr) => {
         #[test]
@@ -135,7 +135,7 @@
 #[test]
 fn a_huge_limit_bounds_nothing() {
     let mut entry = Entry::limited(0, 1, 2.2);
-    assert!(entry.names(100, 50, 1e308));
+    assert!(entry.report(100, 50, 1e308));
     assert_eq!(entry.place(100), SendQuota::Unbounded);
 }
 
@@ -152,36 +152,36 @@
 #[test]
 fn an_answer_that_names_none_ends_it() {
     let mut entry = Entry::limited(0, 1, 2.2);
-    assert!(entry.names_none(200, 100));
+    assert!(entry.report_none(200, 100));
     assert_eq!(entry.place(200), SendQuota::Unbounded);
 }
 
-// It was made before the limit was named, and came later.
+// The response was made before the limit was first reported, and arrived later.
 #[test]
 fn an_answer_that_was_overtaken_does_not_end_it() {
     let mut entry = Entry::of(0, 1);
-    entry.names(1_000, 900, 2.2);
-    assert!(!entry.names_none(1_100, 999));
+    entry.report(1_000, 900, 2.2);
+    assert!(!entry.report_none(1_100, 999));
     assert_eq!(entry.limit(), Some(2.2));
 }
 
 #[test]
 fn an_answer_that_was_overtaken_does_not_raise_it() {
     let mut entry = Entry::of(0, 1);
-    entry.names(1_000, 900, 2.2);
-    assert!(!entry.names(1_100, 999, 50.0));
+    entry.report(1_000, 900, 2.2);
+    assert!(!entry.report(1_100, 999, 50.0));
     assert_eq!(entry.limit(), Some(2.2));
-    assert!(entry.names(1_200, 1_050, 5.0));
-    assert!(entry.names(1_300, 900, 1.0));
+    assert!(entry.report(1_200, 1_050, 5.0));
+    assert!(entry.report(1_300, 900, 1.0));
     assert_eq!(entry.limit(), Some(1.0));
 }
 
-// Answers that name the larger one overlap, so that each was asked for before the one before came.
+// The responses with the larger limit overlap: each request was sent before the previous response arrived.
 #[test]
 fn a_limit_that_is_raised_under_constant_load_is_found_out() {
     let mut entry = Entry::of(0, 1);
-    entry.names(1_000, 900, 2.2);
-    let raised = (11..30).map(|n| n * 100).find(|ms| entry.names(*ms, ms - 500, 5.0));
+    entry.report(1_000, 900, 2.2);
+    let raised = (11..30).map(|n| n * 100).find(|ms| entry.report(*ms, ms - 500, 5.0));
     assert_eq!(raised, Some(1_500));
 }
 
@@ -189,20 +189,20 @@
 fn what_was_sent_counts_again_when_a_limit_flaps() {
     let mut entry = Entry::limited(0, 1, 2.2);
     assert_eq!(entry.send_all(0), 9);
-    entry.names_none(200, 100);
-    entry.names(400, 300, 2.2);
+    entry.report_none(200, 100);
+    entry.report(400, 300, 2.2);
     assert_eq!(entry.send_all(400), 0);
     assert_eq!(entry.send_all(4_400), 9);
 }
 
-/// The entry of 21 that has no part of a limit and comes last for this upstream.
-fn without_a_part() -> Entry {
-    let places = (0..21).map(|n| (Entry::limited(n, 21, 0.3), n));
-    let last = places.max_by_key(|(entry, _)| match entry.place(1) {
+/// The last in rank of 21 gateways, which has no share of the upstream's limit.
+fn without_a_share() -> Entry {
+    let entries = (0..21).map(|n| (Entry::limited(n, 21, 0.3), n));
+    let last = entries.max_by_key(|(entry, _)| match entry.place(1) {
         SendQuota::OthersUntil(at) => at,
         _ => MonoTime::default(),
     });
-    let (entry, _) = last.expect("an entry");
+    let (entry, _) = last.expect("at least one gateway");
     assert!(matches!(entry.place(1), SendQuota::OthersUntil(_)));
     entry
 }
@@ -213,14 +213,14 @@
     let mut sent: Vec<u64> = Vec::new();
     for ms in (0..400_000).step_by(50) {
         for entry in &mut entries {
-            let is_asking = matches!(entry.place(ms), SendQuota::Free);
-            if is_asking {
+            let may_send = matches!(entry.place(ms), SendQuota::Free);
+            if may_send {
                 entry.limits.record_sent(at(ms), &start());
                 sent.push(ms);
             }
         }
     }
-    // Nobody is answered here: this is the worst that there can be.
+    // No request gets a response here, which is the worst case.
     let most = sent
         .iter()
         .map(|from| sent.iter().filter(|ms| (*from..*from + 4_000).contains(*ms)).count());
@@ -230,48 +230,51 @@
 
 #[test]
 fn one_without_a_part_waits_while_others_hear_of_it() {
-    let mut entry = without_a_part();
+    let mut entry = without_a_share();
     let until = |place| {
         if let SendQuota::OthersUntil(at) = place { at } else { MonoTime::default() }
     };
     let before = until(entry.place(1));
-    entry.is_told(5_000, LimitUpdate { limit: Some(rate(0.3)), age: Duration::ZERO });
+    entry.apply_peer_update(5_000, LimitUpdate { limit: Some(rate(0.3)), age: Duration::ZERO });
     assert_eq!(until(entry.place(5_000)), before.after(Duration::from_millis(5_000)));
 }
 
 #[test]
 fn one_that_is_told_that_it_is_over_uses_it_in_full() {
-    let mut entry = without_a_part();
-    assert!(entry.is_told(900, LimitUpdate { limit: None, age: Duration::from_millis(100) }));
+    let mut entry = without_a_share();
+    assert!(
+        entry.apply_peer_update(900, LimitUpdate { limit: None, age: Duration::from_millis(100) })
+    );
     assert_eq!(entry.place(900), SendQuota::Unbounded);
 }
 
 #[test]
 fn what_is_told_is_believed_only_if_it_is_later() {
     let mut entry = Entry::of(0, 3);
-    entry.names(1_000, 900, 2.2);
+    entry.report(1_000, 900, 2.2);
     let over = |age_ms| LimitUpdate { limit: None, age: Duration::from_millis(age_ms) };
-    assert!(!entry.is_told(1_500, over(500)));
-    assert!(entry.is_told(1_500, over(499)));
+    assert!(!entry.apply_peer_update(1_500, over(500)));
+    assert!(entry.apply_peer_update(1_500, over(499)));
 }
 
 #[test]
 fn an_end_of_what_was_never_named_is_no_news() {
     let mut entry = Entry::of(0, 3);
-    assert!(!entry.is_told(500, LimitUpdate { limit: None, age: Duration::ZERO }));
-    assert_eq!(entry.tells(500), None);
+    assert!(!entry.apply_peer_update(500, LimitUpdate { limit: None, age: Duration::ZERO }));
+    assert_eq!(entry.peer_update(500), None);
 }
 
-// Each takes what the other told for news, as it takes a while to come.
+// An update arrives with a delay, so each gateway may take the other's for a newer state.
 #[test]
 fn two_entries_do_not_tell_each_other_for_ever() {
     let (mut one, mut other) = (Entry::limited(0, 2, 2.2), Entry::of(1, 2));
-    let told = (0..200).map(|n| n * 200).filter(|ms| {
-        let there = one.tells(*ms).map(|told| other.is_told(ms + 150, told));
-        let back = other.tells(ms + 150).map(|told| one.is_told(ms + 199, told));
+    let exchanged = (0..200).map(|n| n * 200).filter(|ms| {
+        let there = one.peer_update(*ms).map(|update| other.apply_peer_update(ms + 150, update));
+        let back =
+            other.peer_update(ms + 150).map(|update| one.apply_peer_update(ms + 199, update));
         there.is_some() || back.is_some()
     });
-    let last_ms = told.max().expect("they tell each other");
+    let last_ms = exchanged.max().expect("an update is exchanged");
     assert!(last_ms < 4_000, "{last_ms}");
 }
 
@@ -280,9 +283,9 @@
     let mut fleet = Fleet::new(&host(99));
     (0..3).for_each(|other| fleet.add_gateway(host(other)));
     let mut entry = Entry { limits: NamedLimits::default(), fleet };
-    entry.names(0, 0, 2.2);
-    assert_eq!(entry.send_all(QUIET_MS - 1), 0);
-    assert_eq!(entry.send_all(QUIET_MS), 1);
+    entry.report(0, 0, 2.2);
+    assert_eq!(entry.send_all(UPDATE_TIMEOUT_MS - 1), 0);
+    assert_eq!(entry.send_all(UPDATE_TIMEOUT_MS), 1);
 }
 
 #[test]
@@ -295,31 +298,32 @@
 }
 
 proptest! {
-    /// Answers overtake each other by up to a second. While the upstream names a limit, and once one
-    /// word of it has come, no order of them makes the entry believe that there is none.
+    /// Responses overtake each other by up to a second. Once one with a limit has arrived, and while the
+    /// upstream reports it, no order of arrival makes the gateway drop the limit.
     #[test]
     fn no_order_of_answers_ends_a_limit_that_holds(
         answers in proptest::collection::vec((0_u64..6_000, 0_u64..500, 0_u64..1_000), 1..60),
     ) {
         const HOLDS_FROM_MS: u64 = 2_000;
-        // When it was sent, when the upstream made the answer, when that came.
+        // Times at which the request was sent, the response made, and the response received.
         let mut answers: Vec<_> =
             answers.iter().map(|(sent, work, way)| (*sent, sent + work, sent + work + way)).collect();
         answers.sort_by_key(|(.., came)| *came);
         let mut entry = Entry::of(0, 1);
-        let mut has_heard = false;
+        let mut is_reported = false;
         for (sent, made, came) in answers {
             if made >= HOLDS_FROM_MS {
-                entry.names(came, sent, 2.2);
-                has_heard = true;
+                entry.report(came, sent, 2.2);
+                is_reported = true;
             } else {
-                entry.names_none(came, sent);
+                entry.report_none(came, sent);
             }
-            prop_assert!(!has_heard || entry.limit() == Some(2.2));
+            prop_assert!(!is_reported || entry.limit() == Some(2.2));
         }
     }
 
-    /// In no span of four seconds do all entries together send more than the limit, whenever they ask.
+    /// In no span of four seconds do all gateways together send more than the limit, whatever the gaps
+    /// between their requests.
     #[test]
     fn no_four_seconds_have_more_than_the_limit(
         gaps_ms in proptest::collection::vec(0_u64..30, 300),
@@ -330,8 +334,8 @@
         prop_assert!(most as f64 <= (4.4 * per_s).max(1.0), "{most} within four seconds");
     }
 
-    /// They go on until those that have no part ask, and what one hears no other one does: no more than
-    /// the platform lets through.
+    /// With every update between gateways lost, and for long enough that gateways without a share send
+    /// requests too, they send no more than the platform accepts.
     #[test]
     fn with_all_news_lost_no_four_seconds_have_more_than_is_let_through(
         gaps_ms in proptest::collection::vec(0_u64..300, 300),
@@ -343,7 +347,7 @@
     }
 }
 
-/// The most that all entries send within four seconds, each in turn after such a pause.
+/// The most requests that all gateways send within four seconds, in turn, with these gaps between requests.
 fn most_in_four_seconds(gaps_ms: &[u64], entries: usize, per_s: f64) -> usize {
     let mut fleet: Vec<_> = (0..entries).map(|n| Entry::limited(n, entries, per_s)).collect();
     let mut now_ms = 0;
@@ -353,7 +357,7 @@
         let entry = &mut fleet[n % entries];
         if entry.place(now_ms) == SendQuota::Free {
             entry.limits.record_sent(at(now_ms), &start());
-            entry.names(now_ms, now_ms, per_s);
+            entry.report(now_ms, now_ms, per_s);
             sent.push(now_ms);
         }
     }
