--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -1,4 +1,4 @@
-//! Choosing the upstream of a request: the one that is expected to cost the least time.
+//! Choosing the upstream of a request: the one with the lowest expected cost in time.
 
 use stallhoist_core::MonoTime;
 use stallhoist_core::PromptPart;
@@ -18,31 +18,31 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::Chosen;
-use super::Known;
 use super::Placement;
 use super::UnavailableReason;
+use super::UpstreamsState;
 use crate::members::Member;
 use crate::rollouts::VersionFilter;
 use crate::routing::RegionsOfZones;
 
-/// The part of a shared prompt that the upstream it is steered to is taken to have read. Not
-/// all, so that one which has surely read it goes first. The first value tried.
-const LIKELY_READ_PERCENT: u64 = 70;
+/// The fraction of a shared prompt prefix that its affinity upstream is assumed to have cached. Less than
+/// all, so that an upstream known to have the prefix is preferred.
+const LIKELY_CACHED_PERCENT: u64 = 70;
 
-/// With fewer upstreams of the old version none of them rests: it would cost more than a third
-/// of what serves, in the very burst in which one has to rest.
+/// With fewer upstreams of the old version none of them becomes the control: keeping it at low load would
+/// cost more than a third of the capacity, during the very bursts in which that matters.
 const MIN_OLD_WITH_CONTROL: usize = 3;
 
-/// The control gets no request while it has so many in progress: upstreams of a new version, with
+/// The control gets no request while it has this many in progress. The upstreams of the new version, with
 /// which it is compared, have one or two.
-const CONTROL_IN_PROGRESS: u32 = 2;
+const MAX_CONTROL_IN_PROGRESS: u32 = 2;
 
-/// Any number: it keeps the choice of the control apart from that of the prefixes' homes.
+/// An arbitrary seed that makes the choice of the control independent of the choice of affinity upstreams.
 const CONTROL_SEED: u64 = 0x00C0_4704;
 
-/// The upstreams among which one is chosen, until there is one: those that are well, then those
-/// that rest, then those that are leaving; and those whose start is over, in case that is an
-/// error, rather than none.
+/// The worst fitness allowed in each pass, and whether draining upstreams are included. The first pass that
+/// finds an upstream ends the search: healthy ones, then those backing off, then those that are draining.
+/// Terminated ones come last, rather than none, in case their state is wrong.
 const PASSES: [(Fitness, bool); 4] = [
     (Fitness::Well, false),
     (Fitness::Resting, false),
@@ -50,10 +50,10 @@
     (Fitness::Over, true),
 ];
 
-/// What one choice rests on.
+/// The inputs of one choice.
 #[derive(Debug)]
 pub(super) struct Choice<'a> {
-    pub(super) known: &'a Known,
+    pub(super) state: &'a UpstreamsState,
     pub(super) own_zone: &'a ZoneName,
     pub(super) regions: &'a RegionsOfZones,
     pub(super) config: &'a BalanceConfig,
@@ -63,17 +63,17 @@
 }
 
 impl Choice<'_> {
-    /// The upstream that a request is best sent to; none when there is none to use.
+    /// The best upstream for a request; none when none is usable.
     pub(super) fn best(&self) -> Option<Chosen> {
         let rule = self.placement.rule;
         let filters = [Some(&rule.wanted), rule.otherwise.as_ref()];
         let control = Control::of(self);
         for filter in filters.into_iter().flatten() {
-            for (unfittest, with_leaving) in PASSES {
+            for (worst, with_leaving) in PASSES {
                 let usable = self.allowed(with_leaving).filter(|member| {
-                    let is_allowed = unfittest > Fitness::Well || control.allows(member);
+                    let is_allowed = worst > Fitness::Well || control.allows(member);
                     is_allowed
-                        && self.known.health.fitness(self.now, &member.start) <= unfittest
+                        && self.state.health.fitness(self.now, &member.start) <= worst
                         && self.is_usable(filter, member)
                 });
                 if let Some(chosen) = self.cheapest(usable) {
@@ -84,9 +84,10 @@
         None
     }
 
-    /// Why there is none.
+    /// The reason for which there is no upstream. Where every candidate lacks quota, the reason of the
+    /// one that has quota again soonest.
     pub(super) fn unavailable_reason(&self) -> UnavailableReason {
-        let (directory, service) = (&self.known.directory, self.placement.service);
+        let (directory, service) = (&self.state.directory, self.placement.service);
         let is_any_listed = directory.of_service(self.now, service, true).next().is_some();
         let is_any_allowed = self.allowed(true).next().is_some();
         if is_any_listed && !is_any_allowed {
@@ -98,30 +99,30 @@
             |member: &&Member| filters.into_iter().flatten().any(|f| f.allows(&member.version));
         let members = self.allowed(true).filter(is_of_version);
         let reasons: Option<Vec<_>> =
-            members.map(|member| quota_reason(self.known.place(self.now, member))).collect();
+            members.map(|member| quota_reason(self.state.place(self.now, member))).collect();
         let soonest = reasons.into_iter().flatten().min_by_key(|(at, _)| *at);
-        soonest.map_or(UnavailableReason::NoneUsable, |(_, unavailable_reason)| unavailable_reason)
+        soonest.map_or(UnavailableReason::NoneUsable, |(_, reason)| reason)
     }
 
-    /// The upstreams of the service to which operators let anything be sent.
+    /// The upstreams of the service that operators and the allowed regions permit.
     fn allowed(&self, with_leaving: bool) -> impl Iterator<Item = &Member> {
-        let (directory, service) = (&self.known.directory, self.placement.service);
+        let (directory, service) = (&self.state.directory, self.placement.service);
         let members = directory.of_service(self.now, service, with_leaving);
         members.filter(|member| {
-            self.known.emptied_zones.allow(&member.zone) && self.is_home(&member.zone)
+            self.state.emptied_zones.allow(&member.zone) && self.is_region_allowed(&member.zone)
         })
     }
 
-    /// Whether the request's data may go to a zone. This holds also when no upstream is left.
-    fn is_home(&self, zone: &ZoneName) -> bool {
+    /// Whether the request's data may go to a zone. Applies even when no upstream is left.
+    fn is_region_allowed(&self, zone: &ZoneName) -> bool {
         let mut allowed_regions = self.placement.allowed_regions.iter().flatten();
         allowed_regions.all(|allowed_regions| allowed_regions.allow(self.regions.get(zone)))
     }
 
     fn is_usable(&self, filter: &VersionFilter, member: &Member) -> bool {
-        let in_progress = self.known.load.in_progress(self.now, &member.start, 0);
+        let in_progress = self.state.load.in_progress(self.now, &member.start, 0);
         filter.allows(&member.version)
-            && self.known.place(self.now, member).is_usable()
+            && self.state.place(self.now, member).is_usable()
             && !self.placement.tried.contains(&member.start)
             && in_progress < self.placement.max_connections
     }
@@ -134,10 +135,10 @@
             body_bytes: self.placement.body_bytes,
         };
         let members: Vec<_> = members.collect();
-        let home = self.home(&members, &request);
+        let affinity = self.affinity_upstream(&members, &request);
         let costs = members.into_iter().map(|member| {
-            let is_home = home == Some(&member.start);
-            let facts = self.facts(member, is_home);
+            let has_affinity = affinity == Some(&member.start);
+            let facts = self.facts(member, has_affinity);
             let cost_ms = expected_cost_ms(self.config, &request, &facts);
             (cost_ms, hash_of(member, self.placement.tie_seed), facts, member)
         });
@@ -157,71 +158,72 @@
         })
     }
 
-    /// The upstream that all entries steer prompts with this beginning to, by a hash, without
-    /// talking to each other.
+    /// The upstream to which all gateways send prompts with this prefix, chosen by a hash without
+    /// coordination.
     ///
-    /// It is one for all availability zones where reading the beginning again costs more than
-    /// the way to another zone: with one in each zone, a prompt that is asked for by all of
-    /// them is read three times. The mean worth of five days with faults in three zones rose from
-    /// 0.607 to 0.660 (eight seeds each).
-    fn home<'m>(
+    /// Where prefilling the prefix again costs more than a request to another availability zone, it is one
+    /// for all zones: with one in each, a prompt that is requested in every zone is prefilled three times.
+    /// Over five days with faults in three zones this raised the mean value of responses from 0.607 to
+    /// 0.660 (eight seeds each).
+    fn affinity_upstream<'m>(
         &self,
         members: &[&'m Member],
         request: &RequestFacts,
     ) -> Option<&'m UpstreamIncarnation> {
         let shared = self.placement.prompt?.shared_parts();
         let part = shared.last()?;
-        let saved_ms = request.reading.of_tokens_ms(likely_read_tokens(shared));
-        let is_worth_the_way =
+        let saved_ms = request.reading.of_tokens_ms(likely_cached_tokens(shared));
+        let is_worth_other_zone =
             self.has_fleet_homes && saved_ms > other_zone_cost_ms(self.config, request.body_bytes);
         let eligible =
-            members.iter().filter(|member| is_worth_the_way || member.zone == *self.own_zone);
+            members.iter().filter(|member| is_worth_other_zone || member.zone == *self.own_zone);
         eligible.min_by_key(|member| hash_of(member, part.id)).map(|member| &member.start)
     }
 
-    /// How long the chosen model takes; a call without a model, no time that is known.
+    /// The prefill time of the chosen model; the default for a request without a model.
     fn reading_time(&self) -> ReadingTime {
         let Placement { service, model, start_pace, .. } = *self.placement;
-        let time = |model| self.known.speeds.time(service, model, start_pace);
+        let time = |model| self.state.speeds.time(service, model, start_pace);
         model.map_or_else(ReadingTime::default, time)
     }
 
-    fn facts(&self, member: &Member, is_home: bool) -> CandidateFacts {
-        let Self { known, now, placement, .. } = *self;
+    fn facts(&self, member: &Member, has_affinity: bool) -> CandidateFacts {
+        let Self { state, now, placement, .. } = *self;
         let start = &member.start;
         let read_tokens = match (placement.model, placement.prompt) {
             (Some(model), Some(prompt)) => {
                 let shared = prompt.shared_parts();
-                let known = known.prefix_caches.read_tokens(now, start, model, shared);
-                if is_home { known.max(likely_read_tokens(shared)) } else { known }
+                let cached = state.prefix_caches.read_tokens(now, start, model, shared);
+                if has_affinity { cached.max(likely_cached_tokens(shared)) } else { cached }
             }
             _ => 0,
         };
-        let work = known.work_on(now, start);
+        let work = state.work_on(now, start);
         CandidateFacts {
             in_progress: work.in_progress,
             slots: member.slots,
             remaining_prefill_ms: work.remaining_prefill_ms,
             read_tokens,
             is_same_zone: member.zone == *self.own_zone,
-            failure_rate: known.health.failure_rate(now, start),
+            failure_rate: state.health.failure_rate(now, start),
         }
     }
 }
 
-/// Which requests go to the upstream of the old version that rests.
+/// Whether a request goes to the control: an upstream of the old version that is kept at low load during a
+/// rollout, so that it can be compared with upstreams of the new version.
 #[derive(Debug)]
 enum Control<'a> {
-    /// None rests.
+    /// There is no control.
     None,
-    /// The request goes to the one that does.
+    /// The request goes to the control.
     Only(&'a UpstreamIncarnation),
-    /// It goes to another.
+    /// The request goes to any upstream but the control.
     Except(&'a UpstreamIncarnation),
 }
 
 impl<'a> Control<'a> {
-    /// The same one for all entries, by a hash.
+    /// All gateways choose the same control, by a hash.
     fn of(choice: &'a Choice<'_>) -> Self {
         let Some(rule) = &choice.placement.rule.control else {
             return Self::None;
@@ -236,7 +238,8 @@
         let Some(control) = control.map(|member| &member.start) else {
             return Self::None;
         };
-        let is_idle = choice.known.work_on(choice.now, control).in_progress < CONTROL_IN_PROGRESS;
+        let is_idle =
+            choice.state.work_on(choice.now, control).in_progress < MAX_CONTROL_IN_PROGRESS;
         if is_for_control && is_idle { Self::Only(control) } else { Self::Except(control) }
     }
 
@@ -249,9 +252,9 @@
     }
 }
 
-/// What an upstream without a place makes of a request, and when that ends.
-fn quota_reason(place: SendQuota) -> Option<(MonoTime, UnavailableReason)> {
-    match place {
+/// The reason for which an upstream without quota is unavailable, and when that ends.
+fn quota_reason(quota: SendQuota) -> Option<(MonoTime, UnavailableReason)> {
+    match quota {
         SendQuota::Unbounded | SendQuota::Free => None,
         SendQuota::FreeAt(at) => Some((at, UnavailableReason::NoQuotaUntil(at))),
         SendQuota::OthersUntil(at) => Some((at, UnavailableReason::PeersHoldQuotaUntil(at))),
@@ -262,9 +265,9 @@
     xxh3_64_with_seed(member.start.instance.as_str().as_bytes(), seed)
 }
 
-/// What the upstream that all entries steer a prompt to has probably read of it, sent there
-/// by another entry.
-fn likely_read_tokens(shared: &[PromptPart]) -> u64 {
+/// The tokens of a shared prefix that its affinity upstream has probably cached from requests of other
+/// gateways.
+fn likely_cached_tokens(shared: &[PromptPart]) -> u64 {
     let add = |sum: u64, part: &PromptPart| sum.saturating_add(part.tokens);
-    shared.iter().fold(0, add) / 100 * LIKELY_READ_PERCENT
+    shared.iter().fold(0, add) / 100 * LIKELY_CACHED_PERCENT
 }
--- a/crates/gateway/src/upstreams/cold.rs
+++ b/crates/gateway/src/upstreams/cold.rs
@@ -1,4 +1,4 @@
-//! What is learnt of upstreams that are cold, and what may be sent to them.
+//! Upstreams that are warming up ("cold"): updates of their state, and the quota for them.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -11,33 +11,34 @@
 use stallhoist_policy::cold::ColdService;
 use stallhoist_policy::fleet_bound::SendQuota;
 
-use super::Known;
 use super::Upstreams;
+use super::UpstreamsState;
 use crate::members::Member;
 
 impl Upstreams {
-    /// What the configuration says of each service.
+    /// Replaces the configured warm-up settings of all services.
     pub(crate) fn set_cold_services(&self, services: HashMap<ServiceName, ColdService>) {
-        self.known.lock().cold_services = services;
+        self.state.lock().cold_services = services;
     }
 
-    /// Another entry, or this one, is listed: cold upstreams' requests are divided among all.
+    /// Adds a listed gateway, which may be this one, to those that share the bounds on upstreams.
     pub(crate) fn gateway_listed(&self, host: HostId) {
-        self.known.lock().fleet.add_gateway(host);
+        self.state.lock().fleet.add_gateway(host);
     }
 
-    /// This entry is about to list itself.
+    /// Notes that this gateway is about to list itself.
     pub(crate) fn announce_self(&self, now: MonoTime) {
-        self.known.lock().fleet.announce_self(now);
+        self.state.lock().fleet.announce_self(now);
     }
 
-    /// Counts the upstreams of each service that are cold; logs where the first one is, or none any more.
+    /// Counts the upstreams of each service that are warming up. Logs when the first one of a service
+    /// begins and when the last one is done.
     pub(crate) fn check_warm_up(&self, now: MonoTime) {
-        let mut known = self.known.lock();
-        known.forget_warm(now);
-        let cold = known.count_cold();
-        let before = std::mem::replace(&mut known.cold_counts, cold.clone());
-        drop(known);
+        let mut state = self.state.lock();
+        state.forget_warm(now);
+        let cold = state.count_cold();
+        let before = std::mem::replace(&mut state.cold_counts, cold.clone());
+        drop(state);
         for (service, count) in &cold {
             if !before.contains_key(service) {
                 log::info!(service:% = service, upstreams = count; "upstreams are cold");
@@ -49,15 +50,15 @@
     }
 }
 
-impl Known {
-    /// Whether a request may be sent to an upstream now, as far as it is cold.
+impl UpstreamsState {
+    /// The quota of an upstream by its warm-up alone.
     pub(super) fn cold_place(&self, now: MonoTime, member: &Member) -> SendQuota {
         let service = self.cold_services.get(&member.service);
         self.cold.place(now, &member.start, service, &self.fleet)
     }
 
-    /// Forgets that upstreams were cold which are not any more. One stays that is not listed yet, as
-    /// its entry may not be believed for a while, or of whose service nothing is known yet.
+    /// Drops upstreams that have warmed up. Keeps those that are not listed, as their row may be deferred
+    /// for a while, and those whose service is not configured yet.
     fn forget_warm(&mut self, now: MonoTime) {
         let is_warm = |start: &&UpstreamIncarnation| {
             self.directory.member(start).is_some_and(|member| {
--- a/crates/gateway/src/upstreams/counts.rs
+++ b/crates/gateway/src/upstreams/counts.rs
@@ -1,32 +1,32 @@
-//! How many upstreams are what, for metrics.
+//! Numbers of upstreams by state, for metrics.
 
 use stallhoist_core::MonoTime;
 
 use super::Upstreams;
 
-/// How many upstreams are what, for metrics.
+/// Numbers of upstreams by state, for metrics.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UpstreamCounts {
     pub(crate) known: usize,
     pub(crate) cold: usize,
-    /// Those that name a limit.
+    /// Upstreams that report a rate limit.
     pub(crate) limited: usize,
-    /// Those that have asked this entry for rest.
+    /// Upstreams that have requested a back-off from this gateway.
     pub(crate) resting: usize,
-    /// The availability zones whose upstreams get nothing more.
+    /// Availability zones whose upstreams get no new requests.
     pub(crate) emptied_zones: usize,
 }
 
 impl Upstreams {
-    /// How many there are now; of cold ones, when they were looked at last.
+    /// The current numbers; `cold` is as of the last [`check_warm_up`](Self::check_warm_up).
     pub(crate) fn counts(&self, now: MonoTime) -> UpstreamCounts {
-        let known = self.known.lock();
+        let state = self.state.lock();
         UpstreamCounts {
-            known: known.directory.len(),
-            cold: known.cold_counts.values().sum(),
-            limited: known.limits.count(),
-            resting: known.rests.count(now),
-            emptied_zones: known.emptied_zones.count(),
+            known: state.directory.len(),
+            cold: state.cold_counts.values().sum(),
+            limited: state.limits.count(),
+            resting: state.backoffs.count(now),
+            emptied_zones: state.emptied_zones.count(),
         }
     }
 }
--- a/crates/gateway/src/upstreams/emptied_zones.rs
+++ b/crates/gateway/src/upstreams/emptied_zones.rs
@@ -1,69 +1,68 @@
-//! Availability zones whose upstreams get nothing more until operators take them back.
+//! Emptied availability zones: their upstreams get no new requests until operators restore them.
 
 use std::collections::BTreeSet;
 
 use stallhoist_core::MonoTime;
 use stallhoist_core::ZoneName;
 
-use super::Known;
 use super::Upstreams;
+use super::UpstreamsState;
 
-/// The availability zones that are emptied now.
+/// The availability zones that are emptied at present.
 #[derive(Debug, Default)]
 pub(super) struct EmptiedZones(BTreeSet<ZoneName>);
 
 impl EmptiedZones {
-    /// Whether an upstream in a zone may be used. This holds whatever else is there: operators empty
-    /// a zone before they take it away, and rather have a request refused than run there.
+    /// Whether an upstream in a zone may be used. There is no fallback: operators empty a zone before they
+    /// shut it down, and prefer a rejected request to one that runs there.
     pub(super) fn allow(&self, zone: &ZoneName) -> bool {
         !self.0.contains(zone)
     }
 
-    /// How many there are.
     pub(super) fn count(&self) -> usize {
         self.0.len()
     }
 }
 
 impl Upstreams {
-    /// Nothing more is to be sent to the upstreams of a zone, from now on. What runs there ends as
-    /// it would.
+    /// Stops sending requests to the upstreams of a zone at once. Requests that run there continue.
     ///
-    /// The platform allows some seconds until then; all of them are left for requests that are on
-    /// their way. 160 to 4,300 requests a day arrived in emptied zones before.
+    /// The platform allows a few seconds until then, all of which are left for requests in flight: without
+    /// that, 160 to 4,300 requests per day arrived in emptied zones.
     pub(crate) fn mark_zone_emptied(&self, zone: ZoneName) {
-        self.known.lock().emptied_zones.0.insert(zone);
+        self.state.lock().emptied_zones.0.insert(zone);
         self.changed.notify_waiters();
     }
 
-    /// The upstreams of a zone may be used again.
+    /// Lets the upstreams of a zone be used again.
     pub(crate) fn restore_zone(&self, now: MonoTime, zone: &ZoneName) {
-        self.known.lock().take_back(now, zone);
+        self.state.lock().restore_zone(now, zone);
         self.changed.notify_waiters();
     }
 
-    /// All that operators have asked for was read: only these zones are emptied.
+    /// Replaces the set of emptied zones by the complete set that operators have requested.
     pub(crate) fn set_emptied_zones(&self, now: MonoTime, emptied: &BTreeSet<ZoneName>) {
-        let mut known = self.known.lock();
-        let taken_back: Vec<_> = known.emptied_zones.0.difference(emptied).cloned().collect();
-        for zone in &taken_back {
-            log::info!(zone:% = zone; "availability zone is not emptied any more");
-            known.take_back(now, zone);
+        let mut state = self.state.lock();
+        let restored: Vec<_> = state.emptied_zones.0.difference(emptied).cloned().collect();
+        for zone in &restored {
+            log::info!(zone:% = zone; "availability zone restored");
+            state.restore_zone(now, zone);
         }
-        known.emptied_zones.0.extend(emptied.iter().cloned());
-        drop(known);
+        state.emptied_zones.0.extend(emptied.iter().cloned());
+        drop(state);
         self.changed.notify_waiters();
     }
 
-    /// The zones that are emptied, for the state dump.
+    /// The emptied zones, for the state dump.
     pub(crate) fn emptied_zones(&self) -> Vec<String> {
-        self.known.lock().emptied_zones.0.iter().map(ToString::to_string).collect()
+        self.state.lock().emptied_zones.0.iter().map(ToString::to_string).collect()
     }
 }
 
-impl Known {
-    /// Its upstreams may have turned cold meanwhile, which their entries in the list say only later.
-    fn take_back(&mut self, now: MonoTime, zone: &ZoneName) {
+impl UpstreamsState {
+    /// Lets a zone be used again. Its upstreams may have cooled down meanwhile, which their rows report only
+    /// later.
+    fn restore_zone(&mut self, now: MonoTime, zone: &ZoneName) {
         if !self.emptied_zones.0.remove(zone) {
             return;
         }
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -1,12 +1,16 @@
-//! The upstreams: who they are, what they have to do, and which one takes a request.
+//! The upstreams of one gateway: their state, their load, and the choice of one for each request.
+//!
+//! All state sits behind one lock, in [`UpstreamsState`]. It changes by the list of upstreams (`mod`), by
+//! responses (`reports`), by updates from peers (`peer_updates`) and by operators (`emptied_zones`);
+//! `choice` reads it to pick an upstream.
 
 mod choice;
 mod cold;
 mod counts;
 mod emptied_zones;
-mod news;
-mod notices;
+mod peer_updates;
 mod placement;
+mod reports;
 mod summary;
 mod work;
 
@@ -62,12 +66,12 @@
 use crate::upstreams::choice::Choice;
 use crate::upstreams::emptied_zones::EmptiedZones;
 
-/// The most entries that send requests to one cold upstream: as many as there may be, as each
-/// then uses its part with the requests that it has anyway.
+/// The most gateways that share the rate of one upstream that is warming up. Unlimited, as each gateway then
+/// uses its share for requests that it has anyway.
 const MAX_OWNERS: u32 = u32::MAX;
 
 #[derive(Debug)]
-struct Known {
+struct UpstreamsState {
     directory: Directory,
     load: UpstreamLoad,
     fleet_work: FleetWork,
@@ -75,27 +79,26 @@
     prefix_caches: PrefixCaches,
     speeds: ReadingSpeeds,
     emptied_zones: EmptiedZones,
-    /// The entries among which what upstreams take is divided.
+    /// The gateways that share the bounds on upstreams.
     fleet: Fleet,
     cold: ColdUpstreams,
     limits: NamedLimits,
-    rests: RequestedBackoffs,
-    /// What upstreams of each service bear while they are cold.
+    backoffs: RequestedBackoffs,
+    /// Capacity of each service's upstreams while they warm up.
     cold_services: HashMap<ServiceName, ColdService>,
-    /// How many of each service were cold when it was looked at last.
+    /// Upstreams of each service that were warming up at the last check.
     cold_counts: BTreeMap<ServiceName, usize>,
 }
 
-/// What an upstream has to do, by this entry's books, the others' and its own word.
+/// The load of an upstream, from local counts, updates from peers and the upstream's own reports.
 #[derive(Debug, Clone, Copy)]
 struct KnownWork {
     in_progress: u32,
     remaining_prefill_ms: f64,
 }
 
-impl Known {
-    /// Nothing is known yet.
-    fn new(own: &HostId, bound: Option<ColdBound>) -> Self {
+impl UpstreamsState {
+    fn new(local: &HostId, bound: Option<ColdBound>) -> Self {
         Self {
             directory: Directory::default(),
             load: UpstreamLoad::default(),
@@ -104,18 +107,22 @@
             prefix_caches: PrefixCaches::default(),
             speeds: ReadingSpeeds::default(),
             emptied_zones: EmptiedZones::default(),
-            fleet: Fleet::new(own),
+            fleet: Fleet::new(local),
             cold: ColdUpstreams::new(bound),
             limits: NamedLimits::default(),
-            rests: RequestedBackoffs::default(),
+            backoffs: RequestedBackoffs::default(),
             cold_services: HashMap::new(),
             cold_counts: BTreeMap::new(),
         }
     }
 
-    /// These starts have ended: later ones are listed in their places. Gives those that had not said
-    /// that they leave.
-    fn are_over(&mut self, now: MonoTime, superseded: Vec<Superseded>) -> Vec<UpstreamIncarnation> {
+    /// Marks superseded incarnations as terminated. Returns those that had not announced their end, as their
+    /// termination counts as unplanned.
+    fn record_superseded(
+        &mut self,
+        now: MonoTime,
+        superseded: Vec<Superseded>,
+    ) -> Vec<UpstreamIncarnation> {
         for Superseded { start, is_planned } in &superseded {
             log::info!(start:% = start, is_planned; "a later start is listed in place of this one");
             self.health.observe(now, start, Evidence::AddressTaken);
@@ -124,12 +131,12 @@
         unplanned.map(|superseded| superseded.start).collect()
     }
 
-    /// Whether a request may be sent to an upstream now: it may be cold, have named a limit or have asked
-    /// for rest.
+    /// Whether a request may be sent to an upstream now, given its warm-up, its reported limit and any
+    /// back-off it requested.
     fn place(&self, now: MonoTime, member: &Member) -> SendQuota {
-        let limited = self.limits.place(now, &member.start, &self.fleet);
-        let rested = self.rests.place(now, &member.start);
-        self.cold_place(now, member).and(limited).and(rested)
+        let limit = self.limits.place(now, &member.start, &self.fleet);
+        let backoff = self.backoffs.place(now, &member.start);
+        self.cold_place(now, member).and(limit).and(backoff)
     }
 
     fn work_on(&self, now: MonoTime, start: &UpstreamIncarnation) -> KnownWork {
@@ -142,14 +149,14 @@
     }
 }
 
-/// The upstreams: who they are, what they have to do, and which one takes a request.
+/// The upstreams of one gateway.
 #[derive(Debug)]
 pub(crate) struct Upstreams {
     own_zone: ZoneName,
     regions: RegionsOfZones,
     config: BalanceConfig,
     decisions: DecisionSettings,
-    known: Mutex<Known>,
+    state: Mutex<UpstreamsState>,
     changed: Notify,
     termination_found: Notify,
 }
@@ -169,51 +176,54 @@
             regions: settings.regions.clone(),
             config,
             decisions,
-            known: Mutex::new(Known::new(&settings.host.id, bound)),
+            state: Mutex::new(UpstreamsState::new(&settings.host.id, bound)),
             changed: Notify::new(),
             termination_found: Notify::new(),
         }
     }
 
-    /// The whole list was read. Gives the starts that have ended by that without saying that they leave.
+    /// Applies the complete list of upstreams. Returns the incarnations that are superseded by it without
+    /// having announced their end.
     pub(crate) fn replace(&self, now: MonoTime, members: Vec<Member>) -> Vec<UpstreamIncarnation> {
-        let mut known = self.known.lock();
+        let mut state = self.state.lock();
         for member in &members {
-            known.cold.record_row(now, &member.start, member.cold);
+            state.cold.record_row(now, &member.start, member.cold);
         }
-        let superseded = known.directory.replace(now, members);
-        let ended = known.are_over(now, superseded);
-        drop(known);
+        let superseded = state.directory.replace(now, members);
+        let unplanned = state.record_superseded(now, superseded);
+        drop(state);
         self.changed.notify_waiters();
-        ended
+        unplanned
     }
 
-    /// One entry of the list has changed. Other changes do not concern upstreams. Gives the starts that
-    /// have ended by that without saying that they leave.
+    /// Applies a change of one row of the list; ignores changes that do not concern upstreams. Returns the
+    /// incarnations that are superseded by it without having announced their end.
     pub(crate) fn apply(&self, now: MonoTime, change: Change) -> Vec<UpstreamIncarnation> {
-        let mut ended = Vec::new();
-        let mut known = self.known.lock();
+        let mut unplanned = Vec::new();
+        let mut state = self.state.lock();
         match change {
             Change::MemberListed(member) => {
-                known.cold.record_report(now, &member.start, member.cold);
-                let superseded = known.directory.listed(now, member);
-                ended = known.are_over(now, superseded);
+                state.cold.record_report(now, &member.start, member.cold);
+                let superseded = state.directory.listed(now, member);
+                unplanned = state.record_superseded(now, superseded);
             }
-            Change::MemberGone(instance) => known.directory.gone(now, &instance),
-            Change::MemberUnreadable(row) => known.directory.unreadable(now, &row.instance),
-            _ => return ended,
+            Change::MemberGone(instance) => state.directory.gone(now, &instance),
+            Change::MemberUnreadable(row) => state.directory.unreadable(now, &row.instance),
+            _ => return unplanned,
         }
-        drop(known);
+        drop(state);
         self.changed.notify_waiters();
-        ended
+        unplanned
     }
 
-    /// Forgets upstreams that have left, and what is over.
+    /// Drops upstreams that have left, and limits and back-offs that have expired.
     pub(crate) fn expire(&self, now: MonoTime) {
-        let mut known = self.known.lock();
-        let Known { directory, load, health, prefix_caches, cold, limits, rests, .. } = &mut *known;
+        let mut state = self.state.lock();
+        let UpstreamsState {
+            directory, load, health, prefix_caches, cold, limits, backoffs, ..
+        } = &mut *state;
         limits.expire(now);
-        rests.expire(now);
+        backoffs.expire(now);
         if directory.expire(now) {
             load.retain(|start| directory.is_known(start));
             health.retain(|start| directory.is_known(start));
@@ -222,65 +232,66 @@
         }
     }
 
-    /// Waits until the list changes after this call: to be called before the list is read.
+    /// Waits for the next change of the list after this call. Call it before reading the list.
     pub(crate) fn changed(&self) -> Notified<'_> {
         self.changed.notified()
     }
 
-    /// The upstream that a request is best sent to; none when there is none to use.
+    /// The best upstream for a request; none when none is usable.
     pub(crate) fn choose(&self, now: MonoTime, placement: &Placement<'_>) -> Option<Chosen> {
-        self.choice(&self.known.lock(), now, placement).best()
+        self.choice(&self.state.lock(), now, placement).best()
     }
 
-    /// The same, to send the request there.
+    /// Like [`choose`](Self::choose), and counts the request against the quotas of the chosen upstream.
     pub(crate) fn acquire(&self, now: MonoTime, placement: &Placement<'_>) -> Option<Chosen> {
-        let mut known = self.known.lock();
-        let chosen = self.choice(&known, now, placement).best()?;
-        known.cold.record_sent(now, &chosen.start);
-        known.limits.record_sent(now, &chosen.start);
+        let mut state = self.state.lock();
+        let chosen = self.choice(&state, now, placement).best()?;
+        state.cold.record_sent(now, &chosen.start);
+        state.limits.record_sent(now, &chosen.start);
         Some(chosen)
     }
 
-    /// Why there is no upstream for a request.
+    /// The reason for which there is no upstream for a request.
     pub(crate) fn unavailable_reason(
         &self,
         now: MonoTime,
         placement: &Placement<'_>,
     ) -> UnavailableReason {
-        self.choice(&self.known.lock(), now, placement).unavailable_reason()
+        self.choice(&self.state.lock(), now, placement).unavailable_reason()
     }
 
     fn choice<'a>(
         &'a self,
-        known: &'a Known,
+        state: &'a UpstreamsState,
         now: MonoTime,
         placement: &'a Placement<'a>,
     ) -> Choice<'a> {
         let has_fleet_homes = self.decisions.has_fleet_homes;
         let (own_zone, config) = (&self.own_zone, &self.config);
         let regions = &self.regions;
-        Choice { known, own_zone, regions, config, has_fleet_homes, now, placement }
+        Choice { state, own_zone, regions, config, has_fleet_homes, now, placement }
     }
 
-    /// Work is sent to an upstream. It counts until the guard is dropped.
+    /// Counts work sent to an upstream until the guard is dropped.
     pub(crate) fn start(self: &Arc<Self>, chosen: &Chosen) -> WorkGuard {
-        self.known.lock().load.started(&chosen.start, chosen.work);
+        self.state.lock().load.started(&chosen.start, chosen.work);
         let start = chosen.start.clone();
-        WorkGuard { upstreams: Arc::clone(self), start, unread: chosen.work }
+        WorkGuard { upstreams: Arc::clone(self), start, prefill: chosen.work }
     }
 
-    /// Something has shown how a start of an upstream is. Says whether it is known to be over since.
+    /// Updates the health of an incarnation by a signal. Returns whether that shows its termination for
+    /// the first time.
     pub(crate) fn observe(
         &self,
         now: MonoTime,
         start: &UpstreamIncarnation,
         evidence: Evidence,
     ) -> bool {
-        let mut known = self.known.lock();
-        let before = known.health.fitness(now, start);
-        known.health.observe(now, start, evidence);
-        let after = known.health.fitness(now, start);
-        drop(known);
+        let mut state = self.state.lock();
+        let before = state.health.fitness(now, start);
+        state.health.observe(now, start, evidence);
+        let after = state.health.fitness(now, start);
+        drop(state);
         let is_newly_terminated = before < Fitness::Over && after == Fitness::Over;
         if is_newly_terminated {
             log::info!(start:% = start, evidence:? = evidence; "this start of an upstream is over");
@@ -289,30 +300,30 @@
         is_newly_terminated
     }
 
-    /// Whether a start has said that it leaves.
+    /// Whether an incarnation has announced its end.
     pub(crate) fn has_announced(&self, start: &UpstreamIncarnation) -> bool {
-        self.known.lock().directory.has_announced(start)
+        self.state.lock().directory.has_announced(start)
     }
 
-    /// Whether a start is known to be over.
+    /// Whether an incarnation is known to have terminated.
     pub(crate) fn is_terminated(&self, now: MonoTime, start: &UpstreamIncarnation) -> bool {
-        self.known.lock().health.fitness(now, start) == Fitness::Over
+        self.state.lock().health.fitness(now, start) == Fitness::Over
     }
 
-    /// Waits until a start is found to be over.
+    /// Waits until the termination of an incarnation is detected.
     pub(crate) fn termination_found(&self) -> Notified<'_> {
         self.termination_found.notified()
     }
 
-    /// Requests in progress at an upstream, as far as it is known.
+    /// Number of requests in progress at an upstream, as far as this gateway knows.
     pub(crate) fn in_progress(&self, now: MonoTime, start: &UpstreamIncarnation) -> u32 {
-        self.known.lock().work_on(now, start).in_progress
+        self.state.lock().work_on(now, start).in_progress
     }
 
-    /// How long the first part of an answer that was asked for is expected to take, by what the
-    /// chosen upstream has to do now besides.
+    /// The expected time to the first chunk of a response already requested, given the other work that the
+    /// chosen upstream has now.
     pub(crate) fn expected_wait(&self, now: MonoTime, chosen: &Chosen) -> Duration {
-        let work = self.known.lock().work_on(now, &chosen.start);
+        let work = self.state.lock().work_on(now, &chosen.start);
         let facts = CandidateFacts {
             in_progress: work.in_progress.saturating_sub(1),
             slots: u32::MAX,
@@ -323,7 +334,7 @@
         chosen.wait_after(other_ms(&self.config, &facts))
     }
 
-    /// An upstream has read a prompt with a model.
+    /// Notes that an upstream has finished the prefill of a prompt, which is in its prefix cache now.
     pub(crate) fn prefill_finished(
         &self,
         now: MonoTime,
@@ -331,10 +342,10 @@
         model: &ModelName,
         prompt: &Prompt,
     ) {
-        self.known.lock().prefix_caches.read(now, start, model, prompt.shared_parts());
+        self.state.lock().prefix_caches.read(now, start, model, prompt.shared_parts());
     }
 
-    /// The first part of an answer came from the chosen upstream.
+    /// Learns the prefill speed of a model from the time to the first chunk of a response.
     pub(crate) fn first_part(
         &self,
         service: &ServiceName,
@@ -351,6 +362,6 @@
             other_ms: chosen.other_ms,
             took_ms: took.as_secs_f64() * 1e3,
         };
-        self.known.lock().speeds.observe(service, model, start_pace, first_part);
+        self.state.lock().speeds.observe(service, model, start_pace, first_part);
     }
 }
--- a/crates/gateway/src/upstreams/news.rs
+++ b/crates/gateway/src/upstreams/peer_updates.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other of upstreams.
+//! Updates on upstreams that gateways exchange.
 
 use std::collections::HashMap;
 
@@ -12,34 +12,33 @@
 use stallhoist_policy::balance::WorkInProgress;
 use stallhoist_policy::named_limits::LimitUpdate;
 
-use super::Known;
 use super::Upstreams;
+use super::UpstreamsState;
 
 impl Upstreams {
-    /// What other entries should know of upstreams that are not well.
+    /// Updates to send to peers on the health of upstreams that are not healthy.
     pub(crate) fn health_updates(&self, now: MonoTime) -> Vec<(UpstreamKey, HealthUpdate)> {
-        let known = self.known.lock();
-        let peer_updates = known.health.peer_updates(now);
-        peer_updates.map(|(start, told)| (UpstreamKey::of(start), told)).collect()
+        let state = self.state.lock();
+        let peer_updates = state.health.peer_updates(now);
+        peer_updates.map(|(start, update)| (UpstreamKey::of(start), update)).collect()
     }
 
-    /// Another entry tells what it knows of upstreams that are not well. Gives those that are known to be
-    /// over since.
+    /// Merges health updates from a peer. Returns the incarnations that they show to have terminated.
     pub(crate) fn apply_health_updates(
         &self,
         now: MonoTime,
-        told: &HashMap<UpstreamKey, HealthUpdate>,
+        updates: &HashMap<UpstreamKey, HealthUpdate>,
     ) -> Vec<UpstreamIncarnation> {
         let mut terminated = Vec::new();
-        if told.is_empty() {
+        if updates.is_empty() {
             return terminated;
         }
-        let Known { directory, health, .. } = &mut *self.known.lock();
+        let UpstreamsState { directory, health, .. } = &mut *self.state.lock();
         for (member, _) in directory.iter() {
             let start = &member.start;
-            if let Some(told) = told.get(&UpstreamKey::of(start)) {
+            if let Some(update) = updates.get(&UpstreamKey::of(start)) {
                 let before = health.fitness(now, start);
-                health.apply_peer_update(now, start, *told);
+                health.apply_peer_update(now, start, *update);
                 if before < Fitness::Over && health.fitness(now, start) == Fitness::Over {
                     terminated.push(start.clone());
                 }
@@ -48,50 +47,50 @@
         terminated
     }
 
-    /// What other entries should know of limits.
+    /// Updates to send to peers on rate limits.
     pub(crate) fn limit_updates(&self, now: MonoTime) -> Vec<(UpstreamKey, LimitUpdate)> {
-        self.known.lock().limits.peer_updates(now).collect()
+        self.state.lock().limits.peer_updates(now).collect()
     }
 
-    /// The same for one that starts.
+    /// Updates on rate limits to send to a peer that has just started.
     pub(crate) fn startup_limit_updates(&self, now: MonoTime) -> Vec<(UpstreamKey, LimitUpdate)> {
-        self.known.lock().limits.startup_peer_updates(now).collect()
+        self.state.lock().limits.startup_peer_updates(now).collect()
     }
 
-    /// Another entry tells what it knows of a limit. Says whether that is another one than before.
+    /// Merges an update on a rate limit from a peer. Returns whether the known limit has changed.
     pub(crate) fn apply_limit_update(
         &self,
         now: MonoTime,
         upstream: UpstreamKey,
-        told: LimitUpdate,
+        update: LimitUpdate,
     ) -> bool {
-        self.known.lock().limits.apply_peer_update(now, upstream, told)
+        self.state.lock().limits.apply_peer_update(now, upstream, update)
     }
 
-    /// This entry's work in progress, and what the entries that are `included` told of theirs:
-    /// what it tells others.
+    /// The work in progress to send to peers: that of this gateway, and that received from the gateways
+    /// that `included` accepts.
     pub(crate) fn work(&self, included: impl Fn(&HostId) -> bool) -> WorkByUpstream {
         if !self.decisions.tells_work {
             return WorkByUpstream::new();
         }
-        let known = self.known.lock();
-        let mut work = known.load.own_work().collect();
-        known.fleet_work.add_to(&mut work, included);
+        let state = self.state.lock();
+        let mut work = state.load.own_work().collect();
+        state.fleet_work.add_to(&mut work, included);
         work
     }
 
-    /// Another entry told its work in progress.
+    /// Merges the work in progress received from a peer.
     pub(crate) fn apply_fleet_work(
         &self,
         now: MonoTime,
         host: HostId,
         work: impl IntoIterator<Item = (UpstreamKey, WorkInProgress)>,
     ) {
-        self.known.lock().fleet_work.apply_peer_update(now, host, work);
+        self.state.lock().fleet_work.apply_peer_update(now, host, work);
     }
 
-    /// Drops what other entries told too long ago.
+    /// Drops work received from peers whose time to live has passed.
     pub(crate) fn expire_fleet_work(&self, now: MonoTime) {
-        self.known.lock().fleet_work.expire(now);
+        self.state.lock().fleet_work.expire(now);
     }
 }
--- a/crates/gateway/src/upstreams/placement.rs
+++ b/crates/gateway/src/upstreams/placement.rs
@@ -1,4 +1,4 @@
-//! What an upstream is chosen for, and which one was chosen.
+//! The request for which an upstream is chosen, and the result of the choice.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,39 +14,40 @@
 use crate::rollouts::VersionRule;
 use crate::routing::AllowedRegions;
 
-/// What an upstream is chosen for.
+/// The request for which an upstream is chosen.
 #[derive(Debug)]
 pub(crate) struct Placement<'a> {
     pub(crate) service: &'a ServiceName,
     pub(crate) rule: &'a VersionRule,
     pub(crate) model: Option<&'a ModelName>,
-    /// The model's pace as a part of the slowest one's, until its answers have shown it.
+    /// The model's time per token relative to the slowest model's, used until responses have shown it.
     pub(crate) start_pace: f64,
     pub(crate) prompt: Option<&'a Prompt>,
     pub(crate) body_bytes: usize,
-    /// Differs from request to request. Of upstreams that cost the same, which many do in a
-    /// large fleet, all entries must not choose the same one.
+    /// Different for each request. In a large fleet many upstreams have the same cost, and gateways must
+    /// not all choose the same one of them.
     pub(crate) tie_seed: u64,
-    /// For a request that may end its upstream: by which one it is sent to, the same at all entries.
+    /// Seed of the choice for a request that may crash its upstream, the same at all gateways, so that all
+    /// of them send it to the same upstream.
     pub(crate) isolation_seed: Option<u64>,
-    /// Where the request may go, by its route and by its workspace: both bind.
+    /// The regions allowed by the request's route and by its workspace; both apply.
     pub(crate) allowed_regions: [Option<&'a AllowedRegions>; 2],
-    /// Upstreams that this request was sent to before.
+    /// Upstreams to which this request was sent before.
     pub(crate) tried: &'a [UpstreamIncarnation],
-    /// The most connections that this entry keeps to one upstream.
+    /// Most requests in progress that this gateway keeps at one upstream, as each uses a connection.
     pub(crate) max_connections: u32,
 }
 
-/// Why there is no upstream for a request.
+/// The reason for which there is no upstream for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum UnavailableReason {
-    /// None is listed, or those that are cannot take it: that may change at any moment.
+    /// No upstream is listed, or none of the listed ones is usable. This may change at any moment.
     NoneUsable,
-    /// Those that may be used take no more than they get, and have no place for this entry before then.
+    /// The usable upstreams have no quota left for this gateway until then.
     NoQuotaUntil(MonoTime),
-    /// Other entries send them what they take until then.
+    /// Other gateways use the whole quota of the usable upstreams until then.
     PeersHoldQuotaUntil(MonoTime),
-    /// There are some, to which nothing may be sent until operators say otherwise.
+    /// Upstreams are listed, but operators or the allowed regions permit none of them.
     NoneAllowed,
 }
 
@@ -57,21 +58,21 @@
     pub(crate) addr: SocketAddr,
     pub(crate) version: VersionName,
     pub(crate) work: PrefillWork,
-    /// Tokens of the prompt that it is believed to have to read.
+    /// Prompt tokens that it probably has to prefill, as they are not in its prefix cache.
     pub(crate) unread_tokens: u64,
-    /// The part of the expected wait that is the same for all prompts.
+    /// Component of the expected wait, in milliseconds, that is the same for all prompts.
     pub(crate) base_ms: f64,
-    /// The part of the expected wait that is owed to other requests.
+    /// Component of the expected wait, in milliseconds, that is due to other requests.
     pub(crate) other_ms: f64,
 }
 
 impl Chosen {
-    /// How long the first part of the answer is expected to take.
+    /// The expected time to the first chunk of the response.
     pub(crate) fn expected_wait(&self) -> Duration {
         self.wait_after(self.other_ms)
     }
 
-    /// The same, if other requests take so long.
+    /// The expected time to the first chunk, if other requests take `other_ms`.
     pub(super) fn wait_after(&self, other_ms: f64) -> Duration {
         Duration::try_from_secs_f64(
             (self.base_ms + self.work.remaining_prefill_ms + other_ms) / 1e3,
--- a/crates/gateway/src/upstreams/notices.rs
+++ b/crates/gateway/src/upstreams/reports.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves in answers.
+//! Reports that upstreams send about themselves in response headers.
 
 use stallhoist_core::MonoTime;
 use stallhoist_core::UpstreamIncarnation;
@@ -8,8 +8,8 @@
 use crate::upstream_report::UpstreamReport;
 
 impl Upstreams {
-    /// An upstream has said something of itself, in an answer to a request that was sent then. Says whether
-    /// it names another limit than before.
+    /// Applies the report in a response to a request sent at `sent`. Returns whether the known rate limit of
+    /// the upstream has changed.
     pub(crate) fn record_report(
         &self,
         now: MonoTime,
@@ -17,24 +17,24 @@
         sent: MonoTime,
         upstream_report: &UpstreamReport,
     ) -> bool {
-        let mut known = self.known.lock();
+        let mut state = self.state.lock();
         if let Some(load) = upstream_report.load {
-            known.load.reported(now, start, load);
+            state.load.reported(now, start, load);
         }
         if let Some(cold) = upstream_report.cold {
-            known.cold.record_report(now, start, ReportedCold::For(cold));
+            state.cold.record_report(now, start, ReportedCold::For(cold));
         }
         if upstream_report.is_leaving {
-            known.directory.record_draining(now, start);
+            state.directory.record_draining(now, start);
         }
         if let Some(rest) = upstream_report.rest {
-            known.rests.record(now, start, rest);
+            state.backoffs.record(now, start, rest);
         }
-        let is_other_limit = known.limits.record_report(now, start, sent, upstream_report.limit);
-        drop(known);
-        if is_other_limit {
+        let has_limit_changed = state.limits.record_report(now, start, sent, upstream_report.limit);
+        drop(state);
+        if has_limit_changed {
             self.changed.notify_waiters();
         }
-        is_other_limit
+        has_limit_changed
     }
 }
--- a/crates/gateway/src/upstreams/summary.rs
+++ b/crates/gateway/src/upstreams/summary.rs
@@ -1,4 +1,4 @@
-//! What the state dump says of upstreams.
+//! The lines on upstreams in the state dump.
 
 use stallhoist_core::MonoTime;
 use stallhoist_policy::balance::ReadingTime;
@@ -8,40 +8,40 @@
 use crate::members::Member;
 
 impl Upstreams {
-    /// One line for each model whose speed is known, for the state dump.
+    /// A line for each model whose prefill speed is known.
     pub(crate) fn speeds_summary(&self) -> Vec<String> {
-        let known = self.known.lock();
+        let state = self.state.lock();
         let line = |(service, model, time): (_, _, ReadingTime)| {
             let ReadingTime { base_ms, ms_per_token } = time;
             format!("{service} {model} {base_ms:.1} ms and {ms_per_token:.5} ms a prompt token")
         };
-        let mut lines: Vec<_> = known.speeds.iter().map(line).collect();
+        let mut lines: Vec<_> = state.speeds.iter().map(line).collect();
         lines.sort_unstable();
         lines
     }
 
-    /// One line for each upstream, for the state dump.
+    /// A line for each upstream.
     pub(crate) fn summary(&self, now: MonoTime) -> Vec<String> {
-        let known = self.known.lock();
-        let line = |(member, presence): (&Member, _)| {
+        let state = self.state.lock();
+        let line = |(member, listing): (&Member, _)| {
             let start = &member.start;
-            let others = known.fleet_work.on(UpstreamKey::of(start));
+            let others = state.fleet_work.on(UpstreamKey::of(start));
             format!(
-                "{start} {} {} {} {} {presence:?} in_progress={} told_by_others={} \
+                "{start} {} {} {} {} {listing:?} in_progress={} told_by_others={} \
                  failure_rate={:.2} fitness={:?} cold={:?} limit={} place={:?}",
                 member.service,
                 member.version,
                 member.addr,
                 member.zone,
-                known.load.in_progress(now, start, 0),
+                state.load.in_progress(now, start, 0),
                 others.requests,
-                known.health.failure_rate(now, start),
-                known.health.fitness(now, start),
-                known.cold_place(now, member),
-                known.limits.limit(start).map_or("none".to_owned(), |limit| limit.to_string()),
-                known.place(now, member),
+                state.health.failure_rate(now, start),
+                state.health.fitness(now, start),
+                state.cold_place(now, member),
+                state.limits.limit(start).map_or("none".to_owned(), |limit| limit.to_string()),
+                state.place(now, member),
             )
         };
-        known.directory.iter().map(line).collect()
+        state.directory.iter().map(line).collect()
     }
 }
--- a/crates/gateway/src/upstreams/work.rs
+++ b/crates/gateway/src/upstreams/work.rs
@@ -7,24 +7,24 @@
 
 use super::Upstreams;
 
-/// Work in progress on an upstream; it ends when this is dropped.
+/// Work in progress on an upstream. Counts as finished when it is dropped.
 #[derive(Debug)]
 pub(crate) struct WorkGuard {
     pub(super) upstreams: Arc<Upstreams>,
     pub(super) start: UpstreamIncarnation,
-    pub(super) unread: PrefillWork,
+    pub(super) prefill: PrefillWork,
 }
 
 impl WorkGuard {
-    /// The first part of the answer came: the prompt has been read.
+    /// Notes that the first chunk of the response has arrived, so the prefill is done.
     pub(crate) fn prefill_finished(&mut self) {
-        let work = std::mem::take(&mut self.unread);
-        self.upstreams.known.lock().load.prefill_finished(&self.start, work);
+        let work = std::mem::take(&mut self.prefill);
+        self.upstreams.state.lock().load.prefill_finished(&self.start, work);
     }
 }
 
 impl Drop for WorkGuard {
     fn drop(&mut self) {
-        self.upstreams.known.lock().load.ended(&self.start, self.unread);
+        self.upstreams.state.lock().load.ended(&self.start, self.prefill);
     }
 }
