--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -68,7 +68,7 @@
         let unread = request.prompt_tokens.saturating_sub(read);
         let work = PrefillWork { remaining_prefill_ms: unread as f64 * MS_PER_TOKEN };
         self.load.request_started(instance, work);
-        self.prefixes.read(now, instance, &self.model, &parts);
+        self.prefixes.record_prefill(now, instance, &self.model, &parts);
         (best, work)
     }
 
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -327,7 +327,7 @@
         model: &ModelName,
         prompt: &Prompt,
     ) {
-        self.known.lock().prefix_caches.read(now, start, model, prompt.shared_parts());
+        self.known.lock().prefix_caches.record_prefill(now, start, model, prompt.shared_parts());
     }
 
     /// The first part of an answer came from the chosen upstream.
--- a/crates/policy/src/balance/prefix_caches.rs
+++ b/crates/policy/src/balance/prefix_caches.rs
@@ -35,7 +35,7 @@
 
 impl PrefixCaches {
     /// An upstream has read these parts with a model.
-    pub fn read(
+    pub fn record_prefill(
         &mut self,
         now: MonoTime,
         start: &UpstreamIncarnation,
--- a/tests/all/decisions/balance.rs
+++ b/tests/all/decisions/balance.rs
@@ -101,7 +101,7 @@
     let mut caches = PrefixCaches::default();
     let (a, model): (_, ModelName) = (start("a"), "m".parse().expect("a name"));
     let parts = [part(1, u64::MAX), part(2, u64::MAX)];
-    caches.read(at_ms(0), &a, &model, &parts);
+    caches.record_prefill(at_ms(0), &a, &model, &parts);
     assert_eq!(caches.cached_tokens(at_ms(0), &a, &model, &parts), u64::MAX);
 }
 
@@ -109,7 +109,7 @@
 fn only_leading_parts_are_shared() {
     let mut caches = PrefixCaches::default();
     let (a, model): (_, ModelName) = (start("a"), "m".parse().expect("a name"));
-    caches.read(at_ms(0), &a, &model, &[part(1, 10), part(3, 30)]);
+    caches.record_prefill(at_ms(0), &a, &model, &[part(1, 10), part(3, 30)]);
     let known = |parts: &[PromptPart]| caches.cached_tokens(at_ms(1), &a, &model, parts);
     assert_eq!(known(&[part(1, 10), part(2, 20), part(3, 30)]), 10);
     assert_eq!(known(&[part(1, 10), part(3, 30)]), 40);
@@ -121,7 +121,7 @@
     let mut caches = PrefixCaches::default();
     let a = start("a");
     let model = |name: &str| -> ModelName { name.parse().expect("a name") };
-    caches.read(at_ms(0), &a, &model("m"), &[part(1, 10)]);
+    caches.record_prefill(at_ms(0), &a, &model("m"), &[part(1, 10)]);
     assert_eq!(caches.cached_tokens(at_ms(1), &a, &model("other"), &[part(1, 10)]), 0);
     assert_eq!(caches.cached_tokens(at_ms(29_999), &a, &model("m"), &[part(1, 10)]), 10);
     assert_eq!(caches.cached_tokens(at_ms(30_000), &a, &model("m"), &[part(1, 10)]), 0);
@@ -132,7 +132,7 @@
     let mut caches = PrefixCaches::default();
     let (a, model): (_, ModelName) = (start("a"), "m".parse().expect("a name"));
     for id in 0..40_000 {
-        caches.read(at_ms(id / 10), &a, &model, &[part(id, 10)]);
+        caches.record_prefill(at_ms(id / 10), &a, &model, &[part(id, 10)]);
     }
     let kept = (0..40_000)
         .filter(|id| caches.cached_tokens(at_ms(4_000), &a, &model, &[part(*id, 10)]) > 0)
