--- a/crates/policy/src/balance/health/evidence.rs
+++ b/crates/policy/src/balance/health/evidence.rs
@@ -1,36 +1,36 @@
-//! What shows how an upstream is.
+//! Signals on the health of an upstream.
 
-/// What shows how one start of an upstream is.
+/// Signal on the health of one upstream incarnation.
 ///
-/// | evidence | proves | the start is | for how long |
+/// | signal | indicates | effect on the incarnation | for how long |
 /// | --- | --- | --- | --- |
-/// | `Answered` | it is there and serves | well | until other evidence |
-/// | `Failed` | it ran a request and failed | dearer, by its failure rate | half of it each 3 s |
-/// | `Unreachable` | from here, nothing takes connections there | resting | 0.5 s, doubled in a row, to 4 s |
-/// | `Refused` | it does not run requests now, whatever the reason | resting, and dearer | 0.2 s, doubled in a row, to 2 s |
-/// | `Misdirected` | another process answers at its address | over | 10 s, doubled in a row, to 60 s |
-/// | `Ended` | its process has ended: its connections broke, and its host refuses new ones | over | 4 s, doubled in a row, to 60 s |
-/// | `AddressTaken` | a later start is listed at its address | over | 60 s |
+/// | `Answered` | it is running and serves | healthy | until another signal |
+/// | `Failed` | it ran a request and failed | higher cost, by its failure rate | the rate halves each 3 s |
+/// | `Unreachable` | from here, nothing accepts connections | backing off | 0.5 s, doubled in a row, up to 4 s |
+/// | `Refused` | it rejects requests, whatever the reason | backing off, and higher cost | 0.2 s, doubled in a row, up to 2 s |
+/// | `Misdirected` | another process responds at its address | terminated | 10 s, doubled in a row, up to 60 s |
+/// | `Ended` | its process has crashed: its connections broke, and its host refuses new ones | terminated | 4 s, doubled in a row, up to 60 s |
+/// | `AddressTaken` | a later incarnation is listed at its address | terminated | 60 s |
 ///
-/// An upstream that answers at once that it did not run a request has nothing in progress, so by
-/// its load alone it would be the best choice for every entry, again and again: each kind of
-/// evidence of that makes it a worse choice than one that serves. None of them forbids an
-/// upstream for good, since each may be wrong: those that rest are used when no other is well,
-/// those that are over when there is no other at all, and any answer ends both.
+/// An upstream that rejects requests at once has nothing in progress, so by its load alone every gateway
+/// would choose it again and again. Each signal of a rejection therefore makes it a worse choice than an
+/// upstream that serves. No signal excludes an upstream for good, as each may be wrong: upstreams that
+/// are backing off are used when none is healthy, terminated ones when there is no other at all, and any
+/// response ends both states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Evidence {
-    /// It answered well.
+    /// A successful response.
     Answered,
-    /// It answered with a failure, or broke off.
+    /// A failure response, or a broken stream.
     Failed,
-    /// It could not be connected to.
+    /// No connection could be established.
     Unreachable,
-    /// It promised that it did not run the request.
+    /// A rejection: the upstream states that it did not run the request.
     Refused,
-    /// Another process answered in its place.
+    /// A response of another process at its address.
     Misdirected,
-    /// Its process has ended.
+    /// A crash of its process.
     Ended,
-    /// A later start is listed at its address.
+    /// A later incarnation listed at its address.
     AddressTaken,
 }
--- a/crates/policy/src/balance/load.rs
+++ b/crates/policy/src/balance/load.rs
@@ -1,4 +1,4 @@
-//! The work that this entry has in progress on each upstream.
+//! Work that this gateway has in progress on each upstream.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,108 +9,115 @@
 use super::UpstreamKey;
 use super::WorkInProgress;
 
-/// How long the load that an upstream reported is believed.
-const REPORT_LIFETIME: Duration = Duration::from_millis(500);
+/// Time to live of the load that an upstream reported.
+const REPORT_TTL: Duration = Duration::from_millis(500);
 
-/// What one request adds to an upstream's work.
+/// Work that one request adds to an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PrefillWork {
-    /// How long the engine is expected to read the request's prompt, in milliseconds.
+    /// Expected prefill time of the request's prompt, in milliseconds.
     pub remaining_prefill_ms: f64,
 }
 
-/// The load that an upstream put into one of its answers.
+/// Load that an upstream reported in a response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests in progress there.
+    /// Requests in progress.
     pub running: u32,
-    /// Requests waiting there.
+    /// Requests in its queue.
     pub waiting: u32,
 }
 
 impl ReportedLoad {
-    /// Requests that it has to do.
+    /// Requests that are running or waiting.
     pub fn in_progress(self) -> u32 {
         self.running.saturating_add(self.waiting)
     }
 }
 
 #[derive(Debug, Default)]
-struct StartLoad {
+struct IncarnationLoad {
     in_progress: u32,
     remaining_prefill_ms: f64,
     reported: Option<(MonoTime, ReportedLoad)>,
 }
 
-/// The work that this entry has in progress on each upstream, and what the upstreams
-/// reported of themselves.
+/// Work that this gateway has in progress on each upstream, and the load that upstreams
+/// reported.
 #[derive(Debug, Default)]
 pub struct UpstreamLoad {
-    by_start: HashMap<UpstreamIncarnation, StartLoad>,
+    by_incarnation: HashMap<UpstreamIncarnation, IncarnationLoad>,
 }
 
 impl UpstreamLoad {
-    /// Work was sent.
-    pub fn request_started(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
-        let load = self.by_start.entry(start.clone()).or_default();
+    /// Adds the work of a request that is sent to an upstream.
+    pub fn request_started(&mut self, incarnation: &UpstreamIncarnation, work: PrefillWork) {
+        let load = self.by_incarnation.entry(incarnation.clone()).or_default();
         load.in_progress += 1;
         load.remaining_prefill_ms += work.remaining_prefill_ms;
     }
 
-    /// The first part of the answer came: its prompt has been read.
-    pub fn prefill_finished(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
-        if let Some(load) = self.by_start.get_mut(start) {
+    /// Removes the prefill work of a request whose first chunk has arrived.
+    pub fn prefill_finished(&mut self, incarnation: &UpstreamIncarnation, work: PrefillWork) {
+        if let Some(load) = self.by_incarnation.get_mut(incarnation) {
             load.remaining_prefill_ms =
                 (load.remaining_prefill_ms - work.remaining_prefill_ms).max(0.0);
         }
     }
 
-    /// The work has ended, however; `work` is what had not been read by then.
-    pub fn request_ended(&mut self, start: &UpstreamIncarnation, work: PrefillWork) {
-        self.prefill_finished(start, work);
-        if let Some(load) = self.by_start.get_mut(start) {
+    /// Removes a request that has ended, whatever its result. `work` is the prefill work that
+    /// was still outstanding.
+    pub fn request_ended(&mut self, incarnation: &UpstreamIncarnation, work: PrefillWork) {
+        self.prefill_finished(incarnation, work);
+        if let Some(load) = self.by_incarnation.get_mut(incarnation) {
             load.in_progress = load.in_progress.saturating_sub(1);
         }
     }
 
-    /// An upstream told its load.
+    /// Stores the load that an upstream reported.
     pub fn record_report(
         &mut self,
         now: MonoTime,
-        start: &UpstreamIncarnation,
+        incarnation: &UpstreamIncarnation,
         load: ReportedLoad,
     ) {
-        self.by_start.entry(start.clone()).or_default().reported = Some((now, load));
+        self.by_incarnation.entry(incarnation.clone()).or_default().reported = Some((now, load));
     }
 
-    /// Requests in progress: this entry's own and `others`, or what the upstream told if that
-    /// is more.
-    pub fn in_progress(&self, now: MonoTime, start: &UpstreamIncarnation, others: u32) -> u32 {
-        let Some(load) = self.by_start.get(start) else {
+    /// Requests in progress on an upstream: this gateway's and its peers' (`others`), or what the
+    /// upstream reported if that is more.
+    pub fn in_progress(
+        &self,
+        now: MonoTime,
+        incarnation: &UpstreamIncarnation,
+        others: u32,
+    ) -> u32 {
+        let Some(load) = self.by_incarnation.get(incarnation) else {
             return others;
         };
         let known = load.in_progress.saturating_add(others);
-        let reported = load.reported.filter(|(at, _)| now.since(*at) < REPORT_LIFETIME);
+        let reported = load.reported.filter(|(at, _)| now.since(*at) < REPORT_TTL);
         reported.map_or(known, |(_, r)| known.max(r.in_progress()))
     }
 
-    /// How long an upstream is expected to read prompts of this entry's requests.
-    pub fn remaining_prefill_ms(&self, start: &UpstreamIncarnation) -> f64 {
-        self.by_start.get(start).map_or(0.0, |load| load.remaining_prefill_ms)
+    /// Outstanding prefill time of this gateway's requests on an upstream, in milliseconds.
+    pub fn remaining_prefill_ms(&self, incarnation: &UpstreamIncarnation) -> f64 {
+        self.by_incarnation.get(incarnation).map_or(0.0, |load| load.remaining_prefill_ms)
     }
 
-    /// This entry's work on each upstream that has any.
+    /// This gateway's work on each upstream that has any.
     pub fn local_work(&self) -> impl Iterator<Item = (UpstreamKey, WorkInProgress)> {
-        let busy = self.by_start.iter().filter(|(_, load)| load.in_progress > 0);
-        busy.map(|(start, load)| {
+        let busy = self.by_incarnation.iter().filter(|(_, load)| load.in_progress > 0);
+        busy.map(|(incarnation, load)| {
             let prefill_ms = load.remaining_prefill_ms.round() as u32;
             let work = WorkInProgress { requests: load.in_progress, prefill_ms };
-            (UpstreamKey::of(start), work)
+            (UpstreamKey::of(incarnation), work)
         })
     }
 
-    /// Forgets upstreams that are gone and have no work left.
+    /// Drops upstreams that are no longer known and have no work in progress.
     pub fn retain(&mut self, mut is_known: impl FnMut(&UpstreamIncarnation) -> bool) {
-        self.by_start.retain(|start, load| load.in_progress > 0 || is_known(start));
+        self.by_incarnation
+            .retain(|incarnation, load| load.in_progress > 0 || is_known(incarnation));
     }
 }
--- a/crates/policy/src/balance/mod.rs
+++ b/crates/policy/src/balance/mod.rs
@@ -1,8 +1,14 @@
-//! Choosing an upstream from what one entry knows itself: its own work in progress, what
-//! upstreams answered lately, and which prompts they have read.
+//! Selects an upstream by what one gateway knows: the work in progress, the recent responses of
+//! upstreams, and the prompts in their prefix caches.
 //!
-//! This is for entries that call upstreams directly. Where a sidecar stands beside each
-//! upstream, [`crate::placement`] asks the sidecars instead.
+//! For gateways that call upstreams directly. Where each upstream has a sidecar, [`crate::placement`]
+//! asks the sidecars instead.
+//!
+//! Read `cost` first: it combines what the other modules keep. `load` and `peer_work` hold the
+//! work in progress, `prefill_speeds` and `prefix_caches` the prefill times, `health` the failures.
+//!
+//! Invariant: no state forbids an upstream for good; it makes the upstream a worse choice, and it decays
+//! or expires.
 
 mod config;
 mod cost;
@@ -20,11 +26,11 @@
 pub use cost::expected_wait_ms;
 pub use cost::other_ms;
 pub use cost::uncached_prefill_ms;
+pub use health::BackoffRange;
 pub use health::Evidence;
 pub use health::Fitness;
 pub use health::HealthConfig;
 pub use health::HealthUpdate;
-pub use health::PauseRange;
 pub use health::UpstreamHealth;
 pub use load::PrefillWork;
 pub use load::ReportedLoad;
--- a/crates/policy/src/balance/peer_work.rs
+++ b/crates/policy/src/balance/peer_work.rs
@@ -1,8 +1,10 @@
-//! The work that other entries have in progress, as they told it.
+//! Work that peers have in progress, as each of them last reported it.
 //!
-//! An entry that knows its own work alone expected first parts after 24 ms that came after
-//! 244 ms in the mean; with what others told it expected 27 and they came after 73 (three
-//! entries before twelve engines, two seeds of three days).
+//! Without peers' work the expected time to the first chunk is far too low: 24 ms on average where
+//! responses took 244 ms; with it 27 ms, where they took 73 ms (three gateways, twelve engines).
+//!
+//! Invariant: the total is the sum of the updates that are kept, so that replacing or dropping an update
+//! subtracts just what it added.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,24 +14,23 @@
 use stallhoist_core::UpstreamIncarnation;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What an entry told is believed for so long: it tells it several times in that time.
-const BELIEVED_FOR: Duration = Duration::from_millis(1_000);
+/// Time to live of a peer's update. Peers send several updates in that time.
+const UPDATE_TTL: Duration = Duration::from_millis(1_000);
 
-/// The most upstreams that are taken from one entry's news, and the most work on one of them
-/// that is believed, whatever it says.
+/// Bounds on what a single peer's update can claim: upstreams, and work on each of them.
 const MAX_UPSTREAMS: usize = 2_000;
 const MAX_REQUESTS: u32 = 10_000;
-const MAX_READING_MS: u32 = 60_000;
+const MAX_PREFILL_MS: u32 = 60_000;
 
-/// A start of an upstream in news between entries: a hash of its id and its time.
+/// Identifies an upstream incarnation between gateways: a hash of its id and its start time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct UpstreamKey(pub u64);
 
 impl UpstreamKey {
-    /// The key of a start of an upstream.
-    pub fn of(start: &UpstreamIncarnation) -> Self {
-        let seed = start.started.map_or(0, |started| started.0);
-        Self(xxh3_64_with_seed(start.instance.as_str().as_bytes(), seed))
+    /// Hashes an upstream incarnation.
+    pub fn of(incarnation: &UpstreamIncarnation) -> Self {
+        let seed = incarnation.started.map_or(0, |started| started.0);
+        Self(xxh3_64_with_seed(incarnation.instance.as_str().as_bytes(), seed))
     }
 }
 
@@ -38,12 +39,12 @@
 pub struct WorkInProgress {
     /// Requests in progress.
     pub requests: u32,
-    /// How long it is expected to read their prompts, in milliseconds.
+    /// Outstanding prefill time of their prompts, in milliseconds.
     pub prefill_ms: u32,
 }
 
 impl WorkInProgress {
-    /// Both together.
+    /// Sum of both, saturating.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -62,7 +63,7 @@
     fn bounded(self) -> Self {
         Self {
             requests: self.requests.min(MAX_REQUESTS),
-            prefill_ms: self.prefill_ms.min(MAX_READING_MS),
+            prefill_ms: self.prefill_ms.min(MAX_PREFILL_MS),
         }
     }
 }
@@ -71,27 +72,27 @@
 pub type WorkByUpstream = HashMap<UpstreamKey, WorkInProgress>;
 
 #[derive(Debug)]
-struct Told {
-    at: MonoTime,
+struct PeerUpdate {
+    received: MonoTime,
     work: WorkByUpstream,
 }
 
-/// The work that other entries have in progress, as each told it last.
+/// Work that peers have in progress, by peer and in total.
 #[derive(Debug, Default)]
 pub struct PeerWork {
-    by_host: HashMap<HostId, Told>,
+    by_host: HashMap<HostId, PeerUpdate>,
     total: WorkByUpstream,
 }
 
 impl PeerWork {
-    /// An entry tells its work, in place of what it told before.
+    /// Replaces the work of a peer by what it has sent now.
     pub fn apply_peer_update(
         &mut self,
         now: MonoTime,
         host: HostId,
         work: impl IntoIterator<Item = (UpstreamKey, WorkInProgress)>,
     ) {
-        self.forget(&host);
+        self.remove(&host);
         let mut bounded = WorkByUpstream::new();
         for (key, work) in work.into_iter().take(MAX_UPSTREAMS) {
             bounded.insert(key, work.bounded());
@@ -100,38 +101,38 @@
             let total = self.total.entry(*key).or_default();
             *total = total.plus(*work);
         }
-        self.by_host.insert(host, Told { at: now, work: bounded });
+        self.by_host.insert(host, PeerUpdate { received: now, work: bounded });
     }
 
-    /// Drops what is too old to be believed.
+    /// Drops updates that are past their time to live.
     pub fn expire(&mut self, now: MonoTime) {
-        let is_old = |told: &Told| now.since(told.at) >= BELIEVED_FOR;
-        let old = self.by_host.iter().filter(|(_, told)| is_old(told));
-        let old: Vec<_> = old.map(|(host, _)| host.clone()).collect();
-        for host in old {
-            self.forget(&host);
+        let is_expired = |update: &PeerUpdate| now.since(update.received) >= UPDATE_TTL;
+        let expired = self.by_host.iter().filter(|(_, update)| is_expired(update));
+        let expired: Vec<_> = expired.map(|(host, _)| host.clone()).collect();
+        for host in expired {
+            self.remove(&host);
         }
     }
 
-    /// What all others together have in progress on an upstream.
+    /// Work of all peers together on an upstream.
     pub fn on(&self, upstream: UpstreamKey) -> WorkInProgress {
         self.total.get(&upstream).copied().unwrap_or_default()
     }
 
-    /// Adds what the entries that are `included` have in progress.
+    /// Adds the work of the peers for which `included` holds to `sum`.
     pub fn sum_into(&self, sum: &mut WorkByUpstream, included: impl Fn(&HostId) -> bool) {
-        let told = self.by_host.iter().filter(|(host, _)| included(host));
-        for (key, work) in told.flat_map(|(_, told)| &told.work) {
+        let updates = self.by_host.iter().filter(|(host, _)| included(host));
+        for (key, work) in updates.flat_map(|(_, update)| &update.work) {
             let total = sum.entry(*key).or_default();
             *total = total.plus(*work);
         }
     }
 
-    fn forget(&mut self, host: &HostId) {
-        let Some(told) = self.by_host.remove(host) else {
+    fn remove(&mut self, host: &HostId) {
+        let Some(update) = self.by_host.remove(host) else {
             return;
         };
-        for (key, work) in told.work {
+        for (key, work) in update.work {
             let Some(total) = self.total.get_mut(&key) else {
                 continue;
             };
--- a/crates/policy/src/balance/prefill_speeds.rs
+++ b/crates/policy/src/balance/prefill_speeds.rs
@@ -1,58 +1,55 @@
-//! How long engines take to read a prompt, learnt from their answers.
+//! Prefill times of engines by service and model, learned from their responses.
 
 use std::collections::HashMap;
 
 use stallhoist_core::ModelName;
 use stallhoist_core::ServiceName;
 
-/// Reading time of a token of the dearest model, in milliseconds, until answers have shown
-/// it. Between the 0.025 and the 0.08 of the engines that it was measured on; half or twice
-/// as much is corrected within 20 answers.
-const START_MS_PER_TOKEN: f64 = 0.04;
+/// Initial prefill time per token of a service's slowest model, in milliseconds. It lies between the
+/// 0.025 and the 0.08 of known engines; an error by a factor of 2 is corrected within 20 responses.
+const INITIAL_MS_PER_TOKEN: f64 = 0.04;
 
-/// Time of a first part whatever the prompt's length, until answers have shown it: the usual
-/// one of small prompts on the engines that it was measured on.
-const START_BASE_MS: f64 = 30.0;
+/// Initial time to the first chunk that does not depend on the prompt, in milliseconds: typical of short
+/// prompts.
+const INITIAL_BASE_MS: f64 = 30.0;
 
-/// How far one answer moves the estimate, as a part of the logarithm of what it is off. By
-/// this a change of speed to three times as much is followed within 30 answers; with one
-/// answer in ten two seconds late, the estimate is off by less than 1.3 times after 1,000.
-const STEP: f64 = 0.1;
+/// Learning rate: the share of the logarithmic error that one response corrects. A change of speed by a
+/// factor of 3 is followed within 30 responses; with one response in ten two seconds late, the estimate
+/// is off by less than a factor of 1.3 after 1,000 responses.
+const LEARNING_RATE: f64 = 0.1;
 
-/// The first answers of a model move it further: by `1 / (2 + answers / 16)`. An estimate that
-/// starts four times too high is within 1.5 times of the truth after 50 answers.
-const EARLY_ANSWERS: f64 = 16.0;
+/// The first responses of a model have a higher rate, `1 / (2 + responses / 16)`. An initial estimate that
+/// is four times too high is within a factor of 1.5 after 50 responses.
+const WARMUP_RESPONSES: f64 = 16.0;
 
-/// One answer counts as off by this factor at most, however late it came: most of those that
-/// are further off waited for something else.
-const MAX_OFF: f64 = 2.0;
+/// Bound on the error factor of one response: most of those beyond it waited for something else.
+const MAX_ERROR_FACTOR: f64 = 2.0;
 
-/// Beyond these bounds no estimate goes, whatever is observed.
+/// Bounds on the estimates, whatever is observed.
 const MIN_MS_PER_TOKEN: f64 = 1e-5;
 const MAX_MS_PER_TOKEN: f64 = 10.0;
 const MIN_BASE_MS: f64 = 0.1;
 const MAX_BASE_MS: f64 = 1_000.0;
 
-/// No prompt is reckoned to take longer, whatever length its caller states: no request is
-/// waited for so long.
-const MAX_READING_MS: f64 = 600_000.0;
+/// Bound on the prefill time of a prompt, whatever length its caller states: no request waits longer.
+const MAX_PREFILL_MS: f64 = 600_000.0;
 
-/// How long an engine takes for the first part of an answer, with nothing else to do.
+/// Time to the first chunk of a response on an idle engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PrefillTime {
-    /// The part that does not depend on the prompt, in milliseconds.
+    /// Time that does not depend on the prompt, in milliseconds.
     pub base_ms: f64,
-    /// The part of each token of the prompt that it has not read before, in milliseconds.
+    /// Time per uncached token of the prompt, in milliseconds.
     pub ms_per_token: f64,
 }
 
 impl PrefillTime {
-    /// The time to read so many tokens.
+    /// Prefill time of `tokens`, without the base.
     pub fn of_tokens_ms(&self, tokens: u64) -> f64 {
-        (tokens as f64 * self.ms_per_token).min(MAX_READING_MS)
+        (tokens as f64 * self.ms_per_token).min(MAX_PREFILL_MS)
     }
 
-    /// The same times as long, within the bounds.
+    /// Multiplies both times, within their bounds.
     fn scaled(self, base_by: f64, token_by: f64) -> Self {
         Self {
             base_ms: (self.base_ms * base_by).clamp(MIN_BASE_MS, MAX_BASE_MS),
@@ -61,94 +58,101 @@
     }
 }
 
-/// The time to the first part of one answer, and what it was spent on.
+/// Observed time to the first chunk of one response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FirstChunk {
-    /// Tokens of the prompt that the engine was believed to have to read.
+    /// Tokens of the prompt that were expected not to be in the prefix cache.
     pub unread_tokens: u64,
-    /// The time that all else was expected to take.
+    /// Expected share of the time that is due to other requests, in milliseconds.
     pub other_ms: f64,
-    /// The time that it took.
+    /// Observed time, in milliseconds.
     pub took_ms: f64,
 }
 
-/// What is known of one model.
+/// Estimate of one model.
 #[derive(Debug, Clone, Copy)]
-struct Rate {
-    start_ms_per_token: f64,
-    answers: u32,
+struct Estimate {
+    initial_ms_per_token: f64,
+    responses: u32,
     time: PrefillTime,
 }
 
-/// How long engines take for the first part of an answer, by service and model.
+/// Time to the first chunk of a response, by service and model.
 ///
-/// The versions of a service share one estimate, so that a new one starts from what is
-/// known of the others.
+/// The versions of a service share one estimate, so that a new version starts from what is known of the
+/// others.
 #[derive(Debug, Default)]
 pub struct PrefillSpeeds {
-    by_service: HashMap<ServiceName, HashMap<ModelName, Rate>>,
+    by_service: HashMap<ServiceName, HashMap<ModelName, Estimate>>,
 }
 
 impl PrefillSpeeds {
-    /// The time that a model takes. `start_pace` is the model's pace as a part of the slowest
-    /// one's, as far as it can be told beforehand; it counts until the model has answered.
+    /// Estimate for a model. `relative_prefill_time` is the model's configured time per token relative to the
+    /// slowest model's; it counts until the model has responded.
     pub fn time(
         &self,
         service: &ServiceName,
         model: &ModelName,
         relative_prefill_time: f64,
     ) -> PrefillTime {
-        let rates = self.by_service.get(service);
-        match rates.and_then(|rates| rates.get(model)) {
-            Some(rate) => rate.time,
-            None => self.start(service, relative_prefill_time),
+        let estimates = self.by_service.get(service);
+        match estimates.and_then(|estimates| estimates.get(model)) {
+            Some(estimate) => estimate.time,
+            None => self.initial_time(service, relative_prefill_time),
         }
     }
 
-    /// An engine has given the first part of an answer. Each of the two parts of the estimate
-    /// is corrected by as much as it has in what was expected: short prompts show the base,
-    /// long ones the time of a token.
+    /// Corrects the estimate of a model by an observed response.
+    ///
+    /// The base and the time per token are each corrected in proportion to their share of the expected
+    /// time: short prompts determine the base, long ones the time per token.
     pub fn observe(
         &mut self,
         service: &ServiceName,
         model: &ModelName,
         relative_prefill_time: f64,
-        first_part: FirstChunk,
+        first_chunk: FirstChunk,
     ) {
-        let FirstChunk { unread_tokens, other_ms, took_ms } = first_part;
+        let FirstChunk { unread_tokens, other_ms, took_ms } = first_chunk;
         let known = self.time(service, model, relative_prefill_time);
         let expected_ms = known.base_ms + known.of_tokens_ms(unread_tokens);
         let is_finite = other_ms.is_finite() && took_ms.is_finite();
-        // It must have been the greater part of the time, by what is known or was seen.
+        // Responses that mostly waited for other requests say little about the prefill: it must be
+        // the greater part of the expected or of the observed time.
         if !is_finite || other_ms > expected_ms.max(took_ms / 2.0) {
             return;
         }
-        let off = ((took_ms - other_ms) / expected_ms).clamp(1.0 / MAX_OFF, MAX_OFF);
-        let base_part = known.base_ms / expected_ms;
-        let rates = self.by_service.entry(service.clone()).or_default();
-        let answers = rates.get(model).map_or(0, |rate| rate.answers);
-        let step = STEP.max(1.0 / (2.0 + f64::from(answers) / EARLY_ANSWERS));
-        let time = known.scaled(off.powf(step * base_part), off.powf(step * (1.0 - base_part)));
-        let start_ms_per_token = relative_prefill_time * START_MS_PER_TOKEN;
-        let answers = answers.saturating_add(1);
-        rates.insert(model.clone(), Rate { start_ms_per_token, answers, time });
+        let error_factor =
+            ((took_ms - other_ms) / expected_ms).clamp(1.0 / MAX_ERROR_FACTOR, MAX_ERROR_FACTOR);
+        let base_share = known.base_ms / expected_ms;
+        let estimates = self.by_service.entry(service.clone()).or_default();
+        let responses = estimates.get(model).map_or(0, |estimate| estimate.responses);
+        let rate = LEARNING_RATE.max(1.0 / (2.0 + f64::from(responses) / WARMUP_RESPONSES));
+        let time = known.scaled(
+            error_factor.powf(rate * base_share),
+            error_factor.powf(rate * (1.0 - base_share)),
+        );
+        let initial_ms_per_token = relative_prefill_time * INITIAL_MS_PER_TOKEN;
+        let responses = responses.saturating_add(1);
+        estimates.insert(model.clone(), Estimate { initial_ms_per_token, responses, time });
     }
 
-    /// The times known, for the state dump.
+    /// All estimates, for the state dump.
     pub fn iter(&self) -> impl Iterator<Item = (&ServiceName, &ModelName, PrefillTime)> {
-        self.by_service.iter().flat_map(|(service, rates)| {
-            rates.iter().map(move |(model, rate)| (service, model, rate.time))
+        self.by_service.iter().flat_map(|(service, estimates)| {
+            estimates.iter().map(move |(model, estimate)| (service, model, estimate.time))
         })
     }
 
-    /// For a model that has not answered yet: what its pace lets expect, corrected by as much
-    /// as the other models of the service are off on average.
-    fn start(&self, service: &ServiceName, relative_prefill_time: f64) -> PrefillTime {
-        let rates = self.by_service.get(service).into_iter().flat_map(HashMap::values);
-        let offs: Vec<f64> =
-            rates.map(|rate| (rate.time.ms_per_token / rate.start_ms_per_token).ln()).collect();
-        let mean = offs.iter().sum::<f64>() / offs.len().max(1) as f64;
-        let ms_per_token = relative_prefill_time * START_MS_PER_TOKEN;
-        PrefillTime { base_ms: START_BASE_MS, ms_per_token }.scaled(1.0, mean.exp())
+    /// Estimate for a model without responses: its initial time, corrected by the mean logarithmic error
+    /// of the service's other models.
+    fn initial_time(&self, service: &ServiceName, relative_prefill_time: f64) -> PrefillTime {
+        let estimates = self.by_service.get(service).into_iter().flat_map(HashMap::values);
+        let log_errors: Vec<f64> = estimates
+            .map(|estimate| (estimate.time.ms_per_token / estimate.initial_ms_per_token).ln())
+            .collect();
+        let mean = log_errors.iter().sum::<f64>() / log_errors.len().max(1) as f64;
+        let ms_per_token = relative_prefill_time * INITIAL_MS_PER_TOKEN;
+        PrefillTime { base_ms: INITIAL_BASE_MS, ms_per_token }.scaled(1.0, mean.exp())
     }
 }
--- a/tests/all/decisions/balance.rs
+++ b/tests/all/decisions/balance.rs
@@ -1,4 +1,4 @@
-//! What an upstream costs: load, health, prompts that it has read.
+//! Cost of an upstream: its load, its health and its prefix cache.
 
 use stallhoist_core::ModelName;
 use stallhoist_core::MonoTime;
@@ -20,12 +20,12 @@
 
 use super::at_ms;
 
-fn start(name: &str) -> UpstreamIncarnation {
+fn incarnation(name: &str) -> UpstreamIncarnation {
     name.parse().expect("a name")
 }
 
-fn is_resting(health: &UpstreamHealth, now: MonoTime, start: &UpstreamIncarnation) -> bool {
-    health.fitness(now, start) == Fitness::Resting
+fn is_resting(health: &UpstreamHealth, now: MonoTime, incarnation: &UpstreamIncarnation) -> bool {
+    health.fitness(now, incarnation) == Fitness::Resting
 }
 
 fn part(id: u64, tokens: u64) -> PromptPart {
@@ -33,9 +33,9 @@
 }
 
 #[test]
-fn an_unreachable_upstream_is_left_alone_for_longer_each_time() {
+fn backoff_of_an_unreachable_upstream_grows() {
     let mut health = UpstreamHealth::new(HealthConfig::default());
-    let a = start("a");
+    let a = incarnation("a");
     health.observe(at_ms(0), &a, Evidence::Unreachable);
     assert!(is_resting(&health, at_ms(499), &a) && !is_resting(&health, at_ms(500), &a));
     health.observe(at_ms(500), &a, Evidence::Unreachable);
@@ -47,20 +47,20 @@
 }
 
 #[test]
-fn an_answer_ends_the_pause() {
+fn a_response_ends_the_backoff() {
     let mut health = UpstreamHealth::new(HealthConfig::default());
-    let a = start("a");
+    let a = incarnation("a");
     health.observe(at_ms(0), &a, Evidence::Unreachable);
     health.observe(at_ms(10), &a, Evidence::Answered);
     assert!(!is_resting(&health, at_ms(11), &a));
     health.observe(at_ms(20), &a, Evidence::Unreachable);
-    assert!(!is_resting(&health, at_ms(520), &a), "the next pause is the first one again");
+    assert!(!is_resting(&health, at_ms(520), &a), "the back-off starts again from the first delay");
 }
 
 #[test]
-fn failures_are_forgotten_with_time() {
+fn the_failure_rate_decays() {
     let mut health = UpstreamHealth::new(HealthConfig::default());
-    let a = start("a");
+    let a = incarnation("a");
     for n in 0..30 {
         health.observe(at_ms(n), &a, Evidence::Failed);
     }
@@ -71,9 +71,9 @@
 }
 
 #[test]
-fn work_counts_from_its_start_to_its_end() {
+fn work_counts_until_the_request_ends() {
     let mut load = UpstreamLoad::default();
-    let a = start("a");
+    let a = incarnation("a");
     let work = PrefillWork { remaining_prefill_ms: 100.0 };
     load.request_started(&a, work);
     load.request_started(&a, work);
@@ -88,27 +88,27 @@
 #[test]
 fn a_reported_load_counts_while_it_is_fresh() {
     let mut load = UpstreamLoad::default();
-    let a = start("a");
+    let a = incarnation("a");
     load.record_report(at_ms(0), &a, ReportedLoad { running: 5, waiting: 2 });
     assert_eq!(load.in_progress(at_ms(100), &a, 0), 7);
     assert_eq!(load.in_progress(at_ms(600), &a, 0), 0);
-    assert_eq!(load.in_progress(at_ms(100), &a, 3), 7, "others' work is in what was reported");
-    assert_eq!(load.in_progress(at_ms(100), &a, 9), 9, "unless it is more");
+    assert_eq!(load.in_progress(at_ms(100), &a, 3), 7, "peers' work is part of the reported load");
+    assert_eq!(load.in_progress(at_ms(100), &a, 9), 9, "peers' work counts where it is more");
 }
 
 #[test]
-fn parts_of_absurd_length_add_up_to_a_number() {
+fn cached_tokens_saturate() {
     let mut caches = PrefixCaches::default();
-    let (a, model): (_, ModelName) = (start("a"), "m".parse().expect("a name"));
+    let (a, model): (_, ModelName) = (incarnation("a"), "m".parse().expect("a name"));
     let parts = [part(1, u64::MAX), part(2, u64::MAX)];
     caches.record_prefill(at_ms(0), &a, &model, &parts);
     assert_eq!(caches.cached_tokens(at_ms(0), &a, &model, &parts), u64::MAX);
 }
 
 #[test]
-fn only_leading_parts_are_shared() {
+fn only_leading_parts_count_as_cached() {
     let mut caches = PrefixCaches::default();
-    let (a, model): (_, ModelName) = (start("a"), "m".parse().expect("a name"));
+    let (a, model): (_, ModelName) = (incarnation("a"), "m".parse().expect("a name"));
     caches.record_prefill(at_ms(0), &a, &model, &[part(1, 10), part(3, 30)]);
     let known = |parts: &[PromptPart]| caches.cached_tokens(at_ms(1), &a, &model, parts);
     assert_eq!(known(&[part(1, 10), part(2, 20), part(3, 30)]), 10);
@@ -117,9 +117,9 @@
 }
 
 #[test]
-fn what_was_read_is_kept_for_one_model_and_a_while() {
+fn cached_parts_belong_to_one_model_and_expire() {
     let mut caches = PrefixCaches::default();
-    let a = start("a");
+    let a = incarnation("a");
     let model = |name: &str| -> ModelName { name.parse().expect("a name") };
     caches.record_prefill(at_ms(0), &a, &model("m"), &[part(1, 10)]);
     assert_eq!(caches.cached_tokens(at_ms(1), &a, &model("other"), &[part(1, 10)]), 0);
@@ -128,9 +128,9 @@
 }
 
 #[test]
-fn the_memory_of_places_is_bounded() {
+fn the_table_of_cached_parts_is_bounded() {
     let mut caches = PrefixCaches::default();
-    let (a, model): (_, ModelName) = (start("a"), "m".parse().expect("a name"));
+    let (a, model): (_, ModelName) = (incarnation("a"), "m".parse().expect("a name"));
     for id in 0..40_000 {
         caches.record_prefill(at_ms(id / 10), &a, &model, &[part(id, 10)]);
     }
@@ -141,7 +141,7 @@
     assert_eq!(caches.cached_tokens(at_ms(4_000), &a, &model, &[part(39_999, 10)]), 10);
 }
 
-/// The first candidate costs less than the second.
+/// Checks that the first candidate costs less than the second.
 macro_rules! cheaper {
     ($name:ident, $first:expr, $second:expr) => {
         #[test]
@@ -149,20 +149,20 @@
             let config = BalanceConfig::default();
             let prefill_time = PrefillTime { base_ms: 20.0, ms_per_token: 0.025 };
             let request = RequestFacts { prompt_tokens: 4_000, prefill_time, body_bytes: 4_000 };
-            let usual = CandidateFacts { slots: 8, is_same_zone: true, ..Default::default() };
+            let typical = CandidateFacts { slots: 8, is_same_zone: true, ..Default::default() };
             let first: fn(CandidateFacts) -> CandidateFacts = $first;
             let second: fn(CandidateFacts) -> CandidateFacts = $second;
             let cost = |facts| expected_cost_ms(&config, &request, &facts);
-            assert!(cost(first(usual)) < cost(second(usual)));
+            assert!(cost(first(typical)) < cost(second(typical)));
         }
     };
 }
 
-cheaper!(the_own_zone, |c| c, |c| CandidateFacts { is_same_zone: false, ..c });
-cheaper!(the_one_with_less_to_do, |c| c, |c| CandidateFacts { in_progress: 3, ..c });
-cheaper!(the_one_with_less_to_read, |c| c, |c| CandidateFacts { remaining_prefill_ms: 12.5, ..c });
-cheaper!(the_one_that_has_read_it, |c| CandidateFacts { cached_tokens: 3_000, ..c }, |c| c);
-cheaper!(the_one_that_does_not_fail, |c| c, |c| CandidateFacts { failure_rate: 0.3, ..c });
+cheaper!(the_same_zone, |c| c, |c| CandidateFacts { is_same_zone: false, ..c });
+cheaper!(fewer_requests_in_progress, |c| c, |c| CandidateFacts { in_progress: 3, ..c });
+cheaper!(less_remaining_prefill, |c| c, |c| CandidateFacts { remaining_prefill_ms: 12.5, ..c });
+cheaper!(a_cached_prefix, |c| CandidateFacts { cached_tokens: 3_000, ..c }, |c| c);
+cheaper!(a_lower_failure_rate, |c| c, |c| CandidateFacts { failure_rate: 0.3, ..c });
 cheaper!(
     another_zone_rather_than_a_failing_upstream,
     |c| CandidateFacts { is_same_zone: false, ..c },
--- a/tests/all/decisions/prefill_speeds.rs
+++ b/tests/all/decisions/prefill_speeds.rs
@@ -1,4 +1,4 @@
-//! How long engines take to read prompts, learnt from answers, against a known truth.
+//! Prefill times learned from responses of simulated engines, against the engines' true speed.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -16,11 +16,11 @@
     name.parse().expect("a name")
 }
 
-/// What each first part takes beside reading.
+/// Time to the first chunk that does not depend on the prompt.
 const BASE_MS: f64 = 50.0;
 
-/// Answers of an engine with a given speed: times scatter, one in ten waits for something
-/// that was not known.
+/// Simulates responses of an engine with a given speed: times vary by 30%, and one response in ten is
+/// delayed by 2 s for an unknown reason.
 struct Engine {
     ms_per_token: f64,
     rng: StdRng,
@@ -31,51 +31,54 @@
         Self { ms_per_token, rng: StdRng::seed_from_u64(seed) }
     }
 
-    fn first_part(&mut self) -> FirstChunk {
+    fn first_chunk(&mut self) -> FirstChunk {
         let is_short = self.rng.random_bool(0.5);
         let longest = if is_short { 1_500 } else { 20_000 };
         let unread_tokens = self.rng.random_range(0..longest);
         let other_ms = self.rng.random_range(0.0..100.0);
         let prefill_ms = unread_tokens as f64 * self.ms_per_token;
-        let scatter = self.rng.random_range(0.7..1.3);
-        let unknown_ms = if self.rng.random_bool(0.1) { 2_000.0 } else { 0.0 };
-        let own_ms = (BASE_MS + prefill_ms) * scatter;
-        FirstChunk { unread_tokens, other_ms, took_ms: own_ms + other_ms + unknown_ms }
+        let variation = self.rng.random_range(0.7..1.3);
+        let delay_ms = if self.rng.random_bool(0.1) { 2_000.0 } else { 0.0 };
+        let engine_ms = (BASE_MS + prefill_ms) * variation;
+        FirstChunk { unread_tokens, other_ms, took_ms: engine_ms + other_ms + delay_ms }
     }
 }
 
-fn observe(speeds: &mut PrefillSpeeds, engine: &mut Engine, answers: usize) {
-    for _ in 0..answers {
-        speeds.observe(&service(), &model("m"), 1.0, engine.first_part());
+fn observe(speeds: &mut PrefillSpeeds, engine: &mut Engine, responses: usize) {
+    for _ in 0..responses {
+        speeds.observe(&service(), &model("m"), 1.0, engine.first_chunk());
     }
 }
 
-/// After so many answers of an engine that takes so long for a token, the estimate is off by
-/// this factor at most, for each of twenty seeds.
-macro_rules! learnt {
-    ($name:ident, $ms_per_token:expr, $answers:expr, $max_off:expr) => {
+/// Checks for each of twenty seeds that after this many responses the estimated time per token is within
+/// a factor of the true one.
+macro_rules! learned {
+    ($name:ident, $ms_per_token:expr, $responses:expr, $max_error:expr) => {
         #[test]
         fn $name() {
             for seed in 0..20 {
                 let mut speeds = PrefillSpeeds::default();
                 let mut engine = Engine::new($ms_per_token, seed);
-                observe(&mut speeds, &mut engine, $answers);
-                let off = speeds.time(&service(), &model("m"), 1.0).ms_per_token / $ms_per_token;
-                assert!(off < $max_off && off > 1.0 / $max_off, "seed {seed}: off by {off}");
+                observe(&mut speeds, &mut engine, $responses);
+                let error = speeds.time(&service(), &model("m"), 1.0).ms_per_token / $ms_per_token;
+                assert!(
+                    error < $max_error && error > 1.0 / $max_error,
+                    "seed {seed}: off by a factor of {error}"
+                );
             }
         }
     };
 }
 
-learnt!(a_fast_engine_after_50_answers, 0.01, 50, 1.5);
-learnt!(a_fast_engine_after_200_answers, 0.01, 200, 1.5);
-learnt!(a_usual_engine_after_50_answers, 0.04, 50, 1.4);
-learnt!(a_slow_engine_after_50_answers, 0.2, 50, 1.4);
-learnt!(a_slow_engine_after_200_answers, 0.2, 200, 1.3);
-learnt!(a_slow_engine_after_1000_answers, 0.2, 1_000, 1.3);
+learned!(a_fast_engine_after_50_responses, 0.01, 50, 1.5);
+learned!(a_fast_engine_after_200_responses, 0.01, 200, 1.5);
+learned!(a_typical_engine_after_50_responses, 0.04, 50, 1.4);
+learned!(a_slow_engine_after_50_responses, 0.2, 50, 1.4);
+learned!(a_slow_engine_after_200_responses, 0.2, 200, 1.3);
+learned!(a_slow_engine_after_1000_responses, 0.2, 1_000, 1.3);
 
 #[test]
-fn what_short_prompts_take_is_not_taken_for_reading() {
+fn the_base_time_is_separated_from_the_time_per_token() {
     let mut speeds = PrefillSpeeds::default();
     observe(&mut speeds, &mut Engine::new(0.01, 1), 500);
     let time = speeds.time(&service(), &model("m"), 1.0);
@@ -89,32 +92,32 @@
     observe(&mut speeds, &mut Engine::new(0.02, 1), 500);
     observe(&mut speeds, &mut Engine::new(0.06, 2), 30);
     let slower = speeds.time(&service(), &model("m"), 1.0).ms_per_token;
-    assert!((0.04..0.08).contains(&slower), "three times slower for 30 answers: {slower}");
+    assert!((0.04..0.08).contains(&slower), "three times slower for 30 responses: {slower}");
     observe(&mut speeds, &mut Engine::new(0.02, 3), 30);
     let faster = speeds.time(&service(), &model("m"), 1.0).ms_per_token;
-    assert!((0.015..0.035).contains(&faster), "as fast as before for 30 answers: {faster}");
+    assert!((0.015..0.035).contains(&faster), "as fast as before for 30 responses: {faster}");
 }
 
 #[test]
-fn a_model_that_has_not_answered_starts_from_the_others() {
+fn a_model_without_responses_starts_from_the_others() {
     let mut speeds = PrefillSpeeds::default();
     let before = speeds.time(&service(), &model("other"), 0.5).ms_per_token;
     let mut engine = Engine::new(0.12, 1);
     for _ in 0..300 {
-        speeds.observe(&service(), &model("m"), 1.0, engine.first_part());
+        speeds.observe(&service(), &model("m"), 1.0, engine.first_chunk());
     }
     let after = speeds.time(&service(), &model("other"), 0.5).ms_per_token;
     assert!((2.0..4.5).contains(&(after / before)), "{before} -> {after}");
 }
 
-/// What cannot be true changes nothing that matters.
+/// Checks that an impossible observation leaves the estimate within its bounds.
 macro_rules! ignored {
-    ($name:ident, $first_part:expr) => {
+    ($name:ident, $first_chunk:expr) => {
         #[test]
         fn $name() {
             let mut speeds = PrefillSpeeds::default();
             for _ in 0..1_000 {
-                speeds.observe(&service(), &model("m"), 1.0, $first_part);
+                speeds.observe(&service(), &model("m"), 1.0, $first_chunk);
             }
             let kept = speeds.time(&service(), &model("m"), 1.0).ms_per_token;
             assert!(kept.is_finite() && (1e-5..=10.0).contains(&kept), "{kept}");
@@ -122,17 +125,20 @@
     };
 }
 
-ignored!(no_number, FirstChunk { unread_tokens: 5_000, other_ms: 0.0, took_ms: f64::NAN });
+ignored!(not_a_number, FirstChunk { unread_tokens: 5_000, other_ms: 0.0, took_ms: f64::NAN });
 ignored!(
     an_infinite_time,
     FirstChunk { unread_tokens: 5_000, other_ms: 0.0, took_ms: f64::INFINITY }
 );
 ignored!(a_negative_time, FirstChunk { unread_tokens: 5_000, other_ms: 0.0, took_ms: -1e9 });
 ignored!(a_week, FirstChunk { unread_tokens: 5_000, other_ms: 0.0, took_ms: 6e8 });
-ignored!(all_tokens_there_are, FirstChunk { unread_tokens: u64::MAX, other_ms: 0.0, took_ms: 1.0 });
+ignored!(
+    the_largest_token_count,
+    FirstChunk { unread_tokens: u64::MAX, other_ms: 0.0, took_ms: 1.0 }
+);
 
 #[test]
-fn a_prompt_of_absurd_length_takes_a_bounded_time() {
+fn the_prefill_time_is_bounded() {
     let time = PrefillSpeeds::default().time(&service(), &model("m"), 1.0);
     assert_eq!(time.of_tokens_ms(u64::MAX), 600_000.0);
 }
