--- a/crates/gateway/src/callers/handler.rs
+++ b/crates/gateway/src/callers/handler.rs
@@ -190,7 +190,7 @@
     match outcome {
         Outcome::Whole(reply) => answer::whole(reply),
         Outcome::Stream(relay) => answer::stream(relay, counted),
-        Outcome::NoResponse(give_up) => given_up(give_up),
+        Outcome::NoResponse(abandon_reason) => given_up(abandon_reason),
     }
 }
 
@@ -201,16 +201,16 @@
             (RequestOutcome::UpstreamFailure, "the upstream's failure is passed on".to_owned())
         }
         Outcome::Whole(_) | Outcome::Stream(_) => (RequestOutcome::Answered, "answered".to_owned()),
-        Outcome::NoResponse(give_up @ AbandonReason::NotRun { .. }) => {
-            (RequestOutcome::NotRun, give_up.to_string())
+        Outcome::NoResponse(abandon_reason @ AbandonReason::NotRun { .. }) => {
+            (RequestOutcome::NotRun, abandon_reason.to_string())
         }
-        Outcome::NoResponse(give_up @ AbandonReason::HeldBack { .. }) => {
-            (RequestOutcome::HeldBack, give_up.to_string())
+        Outcome::NoResponse(abandon_reason @ AbandonReason::HeldBack { .. }) => {
+            (RequestOutcome::HeldBack, abandon_reason.to_string())
         }
-        Outcome::NoResponse(give_up @ AbandonReason::NotAllowed { .. }) => {
-            (RequestOutcome::NotAllowed, give_up.to_string())
+        Outcome::NoResponse(abandon_reason @ AbandonReason::NotAllowed { .. }) => {
+            (RequestOutcome::NotAllowed, abandon_reason.to_string())
         }
-        Outcome::NoResponse(give_up) => (RequestOutcome::Failed, give_up.to_string()),
+        Outcome::NoResponse(abandon_reason) => (RequestOutcome::Failed, abandon_reason.to_string()),
     };
     state.metrics.record_request(end);
     let call = execution.call();
