--- a/tests/all/gateway/fatal_requests.rs
+++ b/tests/all/gateway/fatal_requests.rs
@@ -94,7 +94,7 @@
             upstreams.push(upstream);
         }
         wait_until("all upstreams are known", async || {
-            fleet.knows("i-11").await && fleet.listed() == entries
+            fleet.knows_upstream("i-11").await && fleet.listed() == entries
         })
         .await;
         Self { fleet, upstreams }
--- a/tests/all/gateway/fleet.rs
+++ b/tests/all/gateway/fleet.rs
@@ -63,10 +63,10 @@
     }
 
     /// A request of each session to one entry, all of which are served.
-    pub(super) async fn ask_in_sessions(&self, entry: usize, round: &str, sessions: usize) {
+    pub(super) async fn send_in_sessions(&self, entry: usize, round: &str, sessions: usize) {
         let numbers: Vec<_> = (0..sessions).collect();
         for some in numbers.chunks(AT_ONCE) {
-            let asked = some.iter().map(|n| self.ask_in_session(entry, round, *n));
+            let asked = some.iter().map(|n| self.send_in_session(entry, round, *n));
             assert!(join_all(asked).await.iter().all(|status| *status == 200));
         }
     }
@@ -91,7 +91,7 @@
     }
 
     /// A request of a session to one entry; gives its status.
-    pub(super) async fn ask_in_session(&self, entry: usize, round: &str, n: usize) -> u16 {
+    pub(super) async fn send_in_session(&self, entry: usize, round: &str, n: usize) -> u16 {
         let url = format!("http://{}/stream/x", self.entries[entry].callers_addr());
         let request = self.http.post(url).header("Host", "test.example").bearer_auth(KEY);
         let request = request.header("Request-Id", format!("{round}-{n}")).header("Model", "*");
@@ -100,7 +100,7 @@
     }
 
     /// Waits until so many entries get all their news of configurations from the store.
-    pub(super) async fn wait_for_asking_the_store(&self, expected: usize) {
+    pub(super) async fn wait_for_direct_readers(&self, expected: usize) {
         wait_until("the others ask them", async || {
             let dumps = self.dumps().await;
             let asks_store = |dump: &&Value| dump["news_from"]["Operators"] == "store";
@@ -110,7 +110,7 @@
     }
 
     /// Waits until all entries know the record of a roll-out.
-    pub(super) async fn wait_for_record(&self) {
+    pub(super) async fn wait_for_rollout_record(&self) {
         wait_until("all know the record", async || {
             let dumps = self.dumps().await;
             dumps.iter().all(|dump| dump["rollouts"].as_array().is_some_and(|list| list.len() == 1))
@@ -119,13 +119,13 @@
     }
 
     /// Whether all entries know an upstream.
-    pub(super) async fn knows(&self, upstream: &str) -> bool {
+    pub(super) async fn knows_upstream(&self, upstream: &str) -> bool {
         let dumps = self.dumps().await;
         dumps.iter().all(|dump| dump["upstreams"].to_string().contains(upstream))
     }
 
     /// Waits until so many entries were told that others have so many requests in progress.
-    pub(super) async fn wait_for_told(&self, entries: usize, requests: u32) {
+    pub(super) async fn wait_for_peer_work(&self, entries: usize, requests: u32) {
         let wanted = format!("told_by_others={requests} ");
         wait_until("others' work is told", async || {
             let dumps = self.dumps().await;
--- a/tests/all/gateway/named_limits.rs
+++ b/tests/all/gateway/named_limits.rs
@@ -205,7 +205,7 @@
         "i-1",
         world.upstreams[0].entry(PLAIN, "zone-1", "v1", "ready"),
     );
-    wait_until("the rows are read", async || world.fleet.knows("i-1").await).await;
+    wait_until("the rows are read", async || world.fleet.knows_upstream("i-1").await).await;
     assert!(world.is_limited("0.3", 1).await);
 });
 
--- a/tests/all/gateway/peers.rs
+++ b/tests/all/gateway/peers.rs
@@ -34,14 +34,14 @@
 
 case!(three_entries_follow_the_store_for_all, async {
     let fleet = Fleet::start().await;
-    fleet.wait_for_asking_the_store(3).await;
+    fleet.wait_for_direct_readers(3).await;
     fleet.store.put("op", "config", config(2));
     fleet.wait_for_version(2).await;
 });
 
 case!(entries_whose_relays_are_gone_ask_the_store, async {
     let mut fleet = Fleet::start().await;
-    fleet.wait_for_asking_the_store(3).await;
+    fleet.wait_for_direct_readers(3).await;
     let dumps = fleet.dumps().await;
     let mut relays = dumps.iter().map(|dump| dump["news_from"]["Operators"] == "store");
     fleet.entries.retain(|_| !relays.next().unwrap_or_default());
@@ -65,7 +65,7 @@
     .await;
     let order = json!({ "service": ENGINE, "target_version": "v2", "duration_s": 600 });
     fleet.store.put("op", "rollout/engine", order);
-    fleet.wait_for_record().await;
+    fleet.wait_for_rollout_record().await;
     // Each entry in turn, until the new version has seen a few more of its requests.
     for entry in &fleet.entries {
         let target = new.runs() + SEEN_BY_EACH;
@@ -90,9 +90,9 @@
     let old = UpstreamStandin::start("i-old", Behaviour::stream(1)).await.expect("it starts");
     let fleet = Fleet::of(3).await;
     fleet.store.put("servers", "i-old", old.entry(ENGINE, "zone-1", "v1", "ready"));
-    fleet.wait_for_asking_the_store(3).await;
-    wait_until("the upstream is known", async || fleet.knows("i-old").await).await;
-    fleet.ask_in_sessions(0, "first", SESSIONS).await;
+    fleet.wait_for_direct_readers(3).await;
+    wait_until("the upstream is known", async || fleet.knows_upstream("i-old").await).await;
+    fleet.send_in_sessions(0, "first", SESSIONS).await;
     let order = json!({ "service": ENGINE, "target_version": "v2", "duration_s": 600 });
     fleet.store.put("op", "rollout/engine", order);
     wait_until("the others know its usual times", async || {
@@ -111,8 +111,8 @@
     let new = UpstreamStandin::start("i-new", Behaviour::stream(1)).await.expect("it starts");
     let fleet = Fleet::start().await;
     fleet.store.put("servers", "i-old", old.entry(ENGINE, "zone-1", "v1", "ready"));
-    fleet.wait_for_asking_the_store(3).await;
-    fleet.ask_in_sessions(0, "first", SESSIONS).await;
+    fleet.wait_for_direct_readers(3).await;
+    fleet.send_in_sessions(0, "first", SESSIONS).await;
     fleet.store.put("servers", "i-new", new.entry(ENGINE, "zone-1", "v2", "ready"));
     let order = json!({ "service": ENGINE, "target_version": "v2", "duration_s": 600 });
     fleet.store.put("op", "rollout/engine", order);
@@ -125,7 +125,7 @@
     .await;
     for entry in 1..ENTRIES {
         let name = format!("entry-{entry}");
-        fleet.ask_in_sessions(entry, &name, SESSIONS).await;
+        fleet.send_in_sessions(entry, &name, SESSIONS).await;
     }
     assert_eq!(new.runs(), 0, "sessions changed their version");
 });
@@ -144,7 +144,7 @@
     let upstream = UpstreamStandin::start("i-0", Behaviour::stream(1)).await.expect("it starts");
     let mut fleet = Fleet::start().await;
     fleet.store.put("servers", "i-0", upstream.entry(ENGINE, "zone-1", "v1", "ready"));
-    fleet.wait_for_asking_the_store(3).await;
+    fleet.wait_for_direct_readers(3).await;
     let seeds: Vec<_> = (0..ENTRIES).map(|n| fleet.peers_addr(n)).collect();
     wait_until("all know the upstream", async || {
         let dumps = fleet.dumps().await;
@@ -164,7 +164,7 @@
     })
     .await;
     for entry in ENTRIES..fleet.entries.len() {
-        assert_eq!(fleet.ask_in_session(entry, &format!("at-{entry}"), 1).await, 200);
+        assert_eq!(fleet.send_in_session(entry, &format!("at-{entry}"), 1).await, 200);
     }
     // A store that is away is not waited for long: its return would be noticed too late (seen on
     // the bench: a configuration in force 2.5 s after it was accepted, hunt-f7ae-71, CONFIG).
@@ -235,10 +235,10 @@
 // Their copies are no longer fresh, so the relays say that they have none.
 case!(news_comes_after_an_outage_that_all_share, async {
     let fleet = Fleet::start().await;
-    fleet.wait_for_asking_the_store(3).await;
+    fleet.wait_for_direct_readers(3).await;
     fleet.store.set_fault(Some(StoreFault::Status(503)));
     fleet.store.put("op", "config", config(4));
-    fleet.wait_for_asking_the_store(3).await;
+    fleet.wait_for_direct_readers(3).await;
     fleet.store.set_fault(None);
     fleet.wait_for_version(4).await;
 });
@@ -250,7 +250,7 @@
     // A copy is fresh for 1.5 s; the bound on a configuration is 2 s.
     const BOUND: Duration = Duration::from_millis(1_800);
     let fleet = Fleet::start().await;
-    fleet.wait_for_asking_the_store(3).await;
+    fleet.wait_for_direct_readers(3).await;
     let dumps = fleet.dumps().await;
     let follow_store: Vec<_> =
         dumps.iter().map(|dump| dump["news_from"]["Operators"] == "store").collect();
@@ -273,10 +273,10 @@
 // roll-out nobody was told which sessions stay on the old version.
 case!(entries_ask_others_for_records_from_the_order_on, async {
     let fleet = Fleet::start().await;
-    fleet.wait_for_asking_the_store(3).await;
+    fleet.wait_for_direct_readers(3).await;
     let order = json!({ "service": ENGINE, "target_version": "v2", "duration_s": 600 });
     fleet.store.put("op", "rollout/engine", order);
-    fleet.wait_for_record().await;
+    fleet.wait_for_rollout_record().await;
     let dumps = fleet.dumps().await;
     let direct = dumps.iter().filter(|dump| dump["news_from"]["Rollouts"] == "store").count();
     assert_eq!(direct, 3, "entries that read the records from the store");
@@ -287,7 +287,7 @@
 case!(an_entry_that_the_store_turns_away_asks_others_again, async {
     const BOUND: Duration = Duration::from_secs(4);
     let fleet = Fleet::start().await;
-    fleet.wait_for_asking_the_store(3).await;
+    fleet.wait_for_direct_readers(3).await;
     let is_direct = |dump: &Value| dump["news_from"]["Operators"] == "store";
     let dumps = fleet.dumps().await;
     let asking = dumps.iter().position(|dump| !is_direct(dump)).expect("some ask others");
@@ -315,8 +315,8 @@
     let engine = UpstreamStandin::start("i-1", Behaviour::Hang).await.expect("it starts");
     let mut fleet = Fleet::start().await;
     fleet.store.put("servers", "i-1", engine.entry(ENGINE, "zone-1", "v1", "ready"));
-    fleet.wait_for_asking_the_store(3).await;
-    wait_until("all know the upstream", async || fleet.knows("i-1 ").await).await;
+    fleet.wait_for_direct_readers(3).await;
+    wait_until("all know the upstream", async || fleet.knows_upstream("i-1 ").await).await;
     let dumps = fleet.dumps().await;
     let source = |n: usize| dumps[n]["news_from"]["Operators"].as_str().unwrap_or_default();
     let asking = (0..ENTRIES).find(|n| source(*n) != "store").expect("four ask others");
@@ -324,8 +324,8 @@
     let relay = relay.expect("it is one of them");
     drop(fleet.entries.remove(relay));
     let asking = if asking > relay { asking - 1 } else { asking };
-    let asked = fleet.ask_in_session(asking, "busy", 1);
-    let told = fleet.wait_for_told(ENTRIES - 2, 1);
+    let asked = fleet.send_in_session(asking, "busy", 1);
+    let told = fleet.wait_for_peer_work(ENTRIES - 2, 1);
     tokio::select! {
         status = asked => panic!("it was answered with {status}"),
         () = told => {}
@@ -341,14 +341,14 @@
             let fleet = Fleet::of($entries).await;
             let listed = engine.entry(ENGINE, "zone-1", "v1", "ready");
             fleet.store.put("servers", "i-1", listed);
-            wait_until("all know the upstream", async || fleet.knows("i-1 ").await).await;
-            let asked = fleet.ask_in_session(0, "busy", 1);
-            let told = fleet.wait_for_told($entries - 1, 1);
+            wait_until("all know the upstream", async || fleet.knows_upstream("i-1 ").await).await;
+            let asked = fleet.send_in_session(0, "busy", 1);
+            let told = fleet.wait_for_peer_work($entries - 1, 1);
             tokio::select! {
                 status = asked => panic!("it was answered with {status}"),
                 () = told => {}
             }
-            fleet.wait_for_told($entries, 0).await;
+            fleet.wait_for_peer_work($entries, 0).await;
         });
     };
 }
--- a/tests/all/gateway/rollout_loads.rs
+++ b/tests/all/gateway/rollout_loads.rs
@@ -25,7 +25,7 @@
 
 use super::rollouts::order;
 use super::rollouts::status;
-use super::rollouts::wait_for_record;
+use super::rollouts::wait_for_rollout_record;
 use super::rollouts::wait_for_status;
 use super::world::ENGINE;
 use super::world::World;
@@ -134,7 +134,7 @@
 async fn ordered(world: &World) {
     order(world, 600.0);
     wait_for_status(world, "running").await;
-    wait_for_record(world).await;
+    wait_for_rollout_record(world).await;
 }
 
 fn answers_of_new(world: &World) -> usize {
--- a/tests/all/gateway/rollouts.rs
+++ b/tests/all/gateway/rollouts.rs
@@ -43,7 +43,7 @@
 }
 
 /// Waits until the gateway knows the record of the roll-out.
-pub(super) async fn wait_for_record(world: &World) {
+pub(super) async fn wait_for_rollout_record(world: &World) {
     wait_until("the record is known", async || {
         let rollouts = world.dump().await["rollouts"].clone();
         rollouts.as_array().is_some_and(|list| list.len() == 1)
@@ -97,7 +97,7 @@
     wait_for_status(&world, "running").await;
     let first = world.store.get(RECORDS, ENGINE);
     world.store.set_fault(None);
-    wait_for_record(&world).await;
+    wait_for_rollout_record(&world).await;
     assert_eq!(world.store.get(RECORDS, ENGINE), first, "it was not begun anew");
 });
 
@@ -126,7 +126,7 @@
     ask_until(&world, "rolled_back").await;
     world.gateway = start_gateway(&world.store).await;
     world.wait_until_ready().await;
-    wait_for_record(&world).await;
+    wait_for_rollout_record(&world).await;
     let seen = world.upstreams[2].runs();
     for n in 0..50 {
         send(world.stream(&format!("after-{n}"))).await.expect("an answer");
@@ -166,7 +166,7 @@
     };
     let (answers, ()) = tokio::join!(first, ordered);
     assert!(answers.iter().flatten().all(|answer| answer.is_whole));
-    wait_for_record(&world).await;
+    wait_for_rollout_record(&world).await;
     join_all((0..SESSIONS).map(|n| ask(n, "second"))).await;
     let moved = world.upstreams[2].arrivals();
     let moved: Vec<_> = moved.iter().filter(|a| !a.header("session").is_empty()).collect();
--- a/tests/all/gateway/store_returns.rs
+++ b/tests/all/gateway/store_returns.rs
@@ -18,7 +18,7 @@
 use super::fleet::Fleet;
 use super::rollouts::ask_until;
 use super::rollouts::order;
-use super::rollouts::wait_for_record;
+use super::rollouts::wait_for_rollout_record;
 use super::rollouts::wait_for_status;
 use super::rollouts::world as rollout_world;
 use super::world::ENGINE;
@@ -260,7 +260,7 @@
     let copy = world.store.copy();
     order(&world, 600.0);
     wait_for_status(&world, "running").await;
-    wait_for_record(&world).await;
+    wait_for_rollout_record(&world).await;
     world.store.restore_from(copy);
     order(&world, 3.0);
     ask_until(&world, "completed").await;
@@ -272,7 +272,7 @@
     let before = world.store.copy();
     order(&world, 600.0);
     wait_for_status(&world, "running").await;
-    wait_for_record(&world).await;
+    wait_for_rollout_record(&world).await;
     let record = || world.store.get("stallhoist-rollouts", ENGINE);
     let known = record();
     let write_again = |_: &StoreStandin| order(&world, 600.0);
