--- a/tests/all/decisions/packing.rs
+++ b/tests/all/decisions/packing.rs
@@ -1,17 +1,18 @@
-//! Values of rows as entries send them to each other.
+//! Packing of row values sent between gateways.
 
 use stallhoist_gateway::peers::pack;
 use stallhoist_gateway::peers::unpack;
 
-/// Lines that share a form and differ in two names, as the routes of a configuration do.
+/// Lines of one form that differ in two names, like the routes of a configuration.
 fn lines(from: u64, to: u64) -> Vec<u8> {
     let name = |n: u64| n.wrapping_add(1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     let line = |n| format!("{{\"name\":\"{:016x}\",\"path\":\"/{:016x}/\"}}", name(n), !name(n));
     (from..to).map(line).collect::<String>().into_bytes()
 }
 
-/// Names a case: one value as a difference to another takes so many bytes at most, and comes back.
-macro_rules! difference_takes {
+/// Asserts the maximum size of one value as a delta to another, and that it unpacks to the same
+/// bytes.
+macro_rules! delta_takes {
     ($name:ident, $base:expr, $value:expr, $max_bytes:expr) => {
         #[test]
         fn $name() {
@@ -23,23 +24,18 @@
     };
 }
 
-difference_takes!(nothing_changes, lines(0, 20_000), lines(0, 20_000), 500);
-difference_takes!(
+delta_takes!(nothing_changes, lines(0, 20_000), lines(0, 20_000), 500);
+delta_takes!(
     a_line_changes,
     lines(0, 20_000),
     [lines(0, 9_000), b"changed".into(), lines(9_001, 20_000)].concat(),
     500
 );
-difference_takes!(lines_are_added, lines(0, 20_000), lines(0, 20_100), 4_000);
-difference_takes!(lines_are_removed, lines(0, 20_000), lines(10_000, 20_000), 500);
-difference_takes!(
-    what_was_first_is_last,
-    lines(0, 200),
-    [lines(100, 200), lines(0, 100)].concat(),
-    500
-);
-difference_takes!(nothing_was_there, Vec::new(), lines(0, 100), 4_000);
-difference_takes!(nothing_is_left, lines(0, 100), Vec::new(), 100);
+delta_takes!(lines_are_added, lines(0, 20_000), lines(0, 20_100), 4_000);
+delta_takes!(lines_are_removed, lines(0, 20_000), lines(10_000, 20_000), 500);
+delta_takes!(halves_swap, lines(0, 200), [lines(100, 200), lines(0, 100)].concat(), 500);
+delta_takes!(base_is_empty, Vec::new(), lines(0, 100), 4_000);
+delta_takes!(value_is_empty, lines(0, 100), Vec::new(), 100);
 
 #[test]
 fn a_whole_value_needs_no_base() {
@@ -49,9 +45,9 @@
     assert_eq!(unpack(&packed, None).expect("it is unpacked"), value);
 }
 
-// An entry that holds something else than it said must not decide by what comes out of it.
+// A gateway that holds another base than it announced must not apply the resulting bytes.
 #[test]
-fn a_difference_to_another_base_is_refused() {
+fn a_delta_to_another_base_is_rejected() {
     let packed = pack(&lines(0, 2_000), Some(&lines(0, 1_900))).expect("it is packed");
     for other in [lines(0, 1_899), lines(1, 1_901), Vec::new()] {
         assert!(unpack(&packed, Some(&other)).is_err());
@@ -59,7 +55,7 @@
 }
 
 #[test]
-fn what_is_no_packed_value_is_refused() {
+fn corrupt_bytes_are_rejected() {
     let packed = pack(&lines(0, 1_000), None).expect("it is packed");
     assert!(unpack(&packed[..packed.len() - 1], None).is_err(), "it is cut off");
     assert!(unpack(b"anything", None).is_err());
@@ -68,9 +64,9 @@
     assert!(unpack(&garbled, None).is_err(), "its checksum is wrong");
 }
 
-// A few bytes from another entry must not become more than this one has memory for.
+// A few bytes from a peer must not expand beyond the memory of the receiver.
 #[test]
-fn a_value_that_becomes_too_large_is_refused() {
+fn a_value_that_unpacks_too_large_is_rejected() {
     const MAX_BYTES: usize = 8 << 20;
     let largest = pack(&vec![0; MAX_BYTES], None).expect("it is packed");
     assert_eq!(unpack(&largest, None).expect("it is unpacked").len(), MAX_BYTES);
--- a/tests/all/decisions/peers.rs
+++ b/tests/all/decisions/peers.rs
@@ -1,4 +1,4 @@
-//! Whom an entry asks for news, and what it can answer.
+//! Selection of the gateways to poll, and the pages served from the feed cache.
 
 use std::net::SocketAddr;
 
@@ -34,10 +34,10 @@
     ListedEntry { host: host(n), peers_addr: addr(n), link: LinkRate::default(), zone: None }
 }
 
-/// The list of each of so many entries.
+/// The list as seen by each of `count` gateways.
 fn lists(count: u16) -> Vec<PeerList> {
-    let list = |own| {
-        let mut list = PeerList::new(host(own), zone("a"));
+    let list = |local| {
+        let mut list = PeerList::new(host(local), zone("a"));
         for n in 0..count {
             list.add(entry(n));
         }
@@ -46,7 +46,7 @@
     (0..count).map(list).collect()
 }
 
-/// In a fleet of this size, so many follow the store themselves.
+/// Asserts how many gateways of a fleet of this size follow the store themselves.
 macro_rules! follow_the_store {
     ($name:ident, $entries:expr, $expected:expr) => {
         #[test]
@@ -58,7 +58,7 @@
     };
 }
 
-follow_the_store!(one_alone, 1, 1);
+follow_the_store!(one_of_one, 1, 1);
 follow_the_store!(all_of_three, 3, 3);
 follow_the_store!(three_of_four, 4, 3);
 follow_the_store!(three_of_thirty_two, 32, 3);
@@ -78,30 +78,30 @@
 }
 
 #[test]
-fn those_who_follow_the_store_tell_each_other() {
+fn relays_exchange_updates() {
     for count in [2, 3, 4, 32] {
         for (n, list) in (0..).zip(lists(count)) {
-            let told = list.other_relays();
+            let others = list.other_relays();
             let expected =
                 if list.poll_targets().is_empty() { usize::from(count).min(3) - 1 } else { 0 };
             assert!(
-                told.len() == expected && !told.contains(&(host(n), addr(n))),
-                "{count}: {told:?}"
+                others.len() == expected && !others.contains(&(host(n), addr(n))),
+                "{count}: {others:?}"
             );
         }
     }
 }
 
 #[test]
-fn nobody_asks_itself_and_the_number_asked_is_bounded() {
+fn poll_targets_exclude_the_local_gateway_and_are_bounded() {
     for (n, list) in (0..).zip(lists(50)) {
-        let asked = list.poll_targets();
-        assert!(asked.len() <= 5 && !asked.contains(&(host(n), addr(n))));
+        let targets = list.poll_targets();
+        assert!(targets.len() <= 5 && !targets.contains(&(host(n), addr(n))));
     }
 }
 
 #[test]
-fn an_entry_that_moved_is_listed_anew() {
+fn a_gateway_with_a_new_address_replaces_its_record() {
     let mut list = PeerList::new(host(1), zone("a"));
     let moved = ListedEntry { peers_addr: addr(9), ..entry(1) };
     assert!(!list.is_listed(&entry(1)));
@@ -112,9 +112,10 @@
     assert_eq!(list.count(), 1);
 }
 
-// Three hosts with slow links sent a large configuration to 29 others, while six had faster ones.
+// Three hosts with slow links served a large configuration to 29 others, while six had faster
+// links.
 #[test]
-fn the_entries_with_the_fastest_links_follow_the_store() {
+fn the_gateways_with_the_fastest_links_are_relays() {
     const FAST: [u16; 4] = [3, 11, 17, 30];
     let mut list = PeerList::new(host(0), zone("a"));
     for n in 0..32 {
@@ -124,17 +125,17 @@
     let relays = list.relays();
     assert_eq!(relays.len(), 3);
     assert!(relays.iter().all(|relay| FAST.iter().any(|n| host(*n) == *relay)), "{relays:?}");
-    // A host whose link was slower at its last start loses its place.
+    // A host that restarts with a slower link stops being a relay.
     let slowed = relays[0].clone();
     let n = FAST.into_iter().find(|n| host(*n) == slowed).expect("it is one of them");
     list.add(ListedEntry { link: LinkRate::from_mbit_per_s(10), ..entry(n) });
     assert!(!list.relays().contains(&slowed));
 }
 
-/// The list of an entry among 40 of four zones, where each zone has some fast links but "d".
-fn list_of_zones(own: u16) -> PeerList {
+/// The list of one gateway among 40 in four zones, where each zone but "d" has some fast links.
+fn list_of_zones(local: u16) -> PeerList {
     let zone_of = |n: u16| zone(["a", "b", "c", "d"][usize::from(n % 4)]);
-    let mut list = PeerList::new(host(own), zone_of(own));
+    let mut list = PeerList::new(host(local), zone_of(local));
     for n in 0..40 {
         let mbit_per_s = if n < 12 && n % 4 != 3 { 200 } else { 10 };
         let link = LinkRate::from_mbit_per_s(mbit_per_s);
@@ -157,19 +158,19 @@
 }
 
 #[test]
-fn an_entry_first_asks_the_relay_of_its_zone() {
+fn the_relay_of_the_own_zone_is_polled_first() {
     let (mut first_of_d, relays) = (Vec::new(), list_of_zones(39).relays());
-    for own in (0..40).filter(|own| !relays.contains(&host(*own))) {
-        let asked = list_of_zones(own).poll_targets();
-        let first = number_of(&asked[0].0);
-        assert!(relays.contains(&host(first)) && asked.len() == 5);
-        if own % 4 == 3 {
+    for local in (0..40).filter(|local| !relays.contains(&host(*local))) {
+        let targets = list_of_zones(local).poll_targets();
+        let first = number_of(&targets[0].0);
+        assert!(relays.contains(&host(first)) && targets.len() == 5);
+        if local % 4 == 3 {
             first_of_d.push(first);
         } else {
-            assert_eq!(first % 4, own % 4, "of entry {own}");
+            assert_eq!(first % 4, local % 4, "of gateway {local}");
         }
     }
-    // Those that have none in their zone share the others.
+    // Gateways without a relay in their zone spread over the relays.
     first_of_d.sort_unstable();
     first_of_d.dedup();
     assert!(first_of_d.len() > 1);
@@ -186,8 +187,8 @@
     }
 }
 
-fn row(key: &str, version: u64, is_there: bool) -> FeedRow {
-    let value = is_there.then(|| key.to_owned().into());
+fn row(key: &str, version: u64, is_present: bool) -> FeedRow {
+    let value = is_present.then(|| key.to_owned().into());
     FeedRow { key: key.to_owned(), value, version: StoreVersion::of(version) }
 }
 
@@ -195,7 +196,7 @@
     FeedPage { rows, version: StoreVersion::of(version), store_now_ms: 5_000 }
 }
 
-/// A copy read at version 10 with rows a and b; at 12 a was removed.
+/// A copy read at version 10 with rows a and b; a was removed at version 12.
 fn copies() -> FeedCache {
     let copies = FeedCache::default();
     let whole = page(vec![row("a", 4, true), row("b", 9, true)], 10);
@@ -209,7 +210,7 @@
 }
 
 #[test]
-fn a_whole_feed_has_only_what_is_there() {
+fn a_whole_feed_omits_removed_rows() {
     let page = copies().page(at_ms(200), Feed::Members, None).expect("it is fresh").expect("rows");
     assert_eq!(
         (keys(&page), page.version, page.store_now_ms),
@@ -218,40 +219,44 @@
 }
 
 #[test]
-fn changes_tell_what_was_removed() {
+fn changes_include_removed_rows() {
     let copies = copies();
     let after = |version| copies.page(at_ms(200), Feed::Members, Some(StoreVersion::of(version)));
     assert_eq!(keys(&after(10).expect("fresh").expect("rows")), ["a"]);
     assert!(after(12).expect("fresh").expect("rows").rows.is_empty());
     let ahead = after(15).expect("fresh").expect("rows");
-    assert_eq!((ahead.rows.len(), ahead.version), (0, StoreVersion::of(15)), "never back");
+    assert_eq!(
+        (ahead.rows.len(), ahead.version),
+        (0, StoreVersion::of(15)),
+        "the version does not decrease"
+    );
 }
 
 #[test]
-fn changes_from_before_the_copy_are_gone() {
-    let answer = copies().page(at_ms(200), Feed::Members, Some(StoreVersion::of(9)));
-    assert!(matches!(answer, Some(Err(ControlStoreError::HistoryGone))));
+fn changes_before_the_copy_are_not_available() {
+    let result = copies().page(at_ms(200), Feed::Members, Some(StoreVersion::of(9)));
+    assert!(matches!(result, Some(Err(ControlStoreError::HistoryGone))));
 }
 
 #[test]
-fn changes_since_an_earlier_era_are_gone() {
+fn changes_since_an_earlier_era_are_not_available() {
     let copies = FeedCache::default();
     let whole = FeedPage { version: later(5), ..page(vec![row("a", 4, true)], 0) };
     copies.replace(at_ms(0), Feed::Members, &whole, Origin::Store);
-    let answer = copies.page(at_ms(1), Feed::Members, Some(StoreVersion::of(100)));
-    assert!(matches!(answer, Some(Err(ControlStoreError::HistoryGone))));
+    let result = copies.page(at_ms(1), Feed::Members, Some(StoreVersion::of(100)));
+    assert!(matches!(result, Some(Err(ControlStoreError::HistoryGone))));
 }
 
 #[test]
-fn one_that_knows_a_later_era_hears_of_nothing() {
+fn a_poller_with_a_later_era_receives_no_rows() {
     let page = copies().page(at_ms(200), Feed::Members, Some(later(2)));
     let page = page.expect("it is fresh").expect("rows");
     assert_eq!((page.rows.len(), page.version), (0, later(2)));
 }
 
-// An entry that is cut off from the store must not keep others from it.
+// A gateway that is cut off from the store must not keep its peers from querying it.
 #[test]
-fn a_copy_that_is_not_fresh_is_none() {
+fn a_stale_copy_is_not_served() {
     let copies = copies();
     assert!(copies.page(at_ms(1_600), Feed::Members, None).is_some());
     assert!(copies.page(at_ms(1_601), Feed::Members, None).is_none());
@@ -259,11 +264,11 @@
     assert!(copies.page(at_ms(1_701), Feed::Members, None).is_some());
 }
 
-/// A copy as above, and one of what operators write that was read at this moment.
-fn copies_with_proof(proof_at_ms: u64) -> FeedCache {
+/// The copy of [`copies`], and one of the liveness feed read at this time.
+fn copies_with_liveness(liveness_at_ms: u64) -> FeedCache {
     let copies = copies();
-    let proof = page(Vec::new(), 12);
-    copies.replace(at_ms(proof_at_ms), Feed::Operators, &proof, Origin::Store);
+    let liveness = page(Vec::new(), 12);
+    copies.replace(at_ms(liveness_at_ms), Feed::Operators, &liveness, Origin::Store);
     copies
 }
 
@@ -271,45 +276,45 @@
     copies.page(at_ms(ms), Feed::Members, None).is_some()
 }
 
-// A question that waits at the store says that nothing has changed, as long as another one shows
-// that the store is reached.
+// A pending follow call shows that its feed has not changed, as long as another feed shows that the
+// store is reachable.
 #[test]
-fn a_feed_that_is_waited_for_is_as_fresh_as_the_proof() {
-    let copies = copies_with_proof(2_000);
-    assert!(!is_fresh(&copies, 2_100), "nobody waits for it");
+fn a_feed_with_a_pending_follow_is_as_fresh_as_the_liveness_feed() {
+    let copies = copies_with_liveness(2_000);
+    assert!(!is_fresh(&copies, 2_100), "no follow call is pending");
     copies.set_following(Feed::Members, true);
     assert!(is_fresh(&copies, 3_500) && !is_fresh(&copies, 3_501));
     copies.set_following(Feed::Members, false);
-    assert!(!is_fresh(&copies, 2_100), "its question was not answered");
+    assert!(!is_fresh(&copies, 2_100), "its follow call did not return");
 }
 
 #[test]
-fn a_proof_from_another_entry_proves_nothing() {
-    let copies = copies_with_proof(2_000);
+fn the_liveness_feed_received_from_a_peer_shows_nothing() {
+    let copies = copies_with_liveness(2_000);
     copies.set_following(Feed::Members, true);
-    let told = page(Vec::new(), 13);
-    copies.extend(at_ms(2_050), Feed::Operators, &told, Origin::OtherEntry);
+    let received = page(Vec::new(), 13);
+    copies.extend(at_ms(2_050), Feed::Operators, &received, Origin::OtherEntry);
     assert!(!is_fresh(&copies, 2_100));
 }
 
 #[test]
-fn changes_without_the_rows_before_them_make_no_copy() {
+fn changes_without_a_whole_feed_are_dropped() {
     let copies = FeedCache::default();
     copies.extend(at_ms(0), Feed::Members, &page(vec![row("a", 4, true)], 4), Origin::Store);
     assert!(!copies.has(Feed::Members));
 }
 
 #[test]
-fn others_count_for_a_while_after_their_question() {
+fn a_poll_counts_for_a_limited_time() {
     let copies = FeedCache::default();
     assert!(!copies.is_polled(at_ms(0)));
     copies.record_poll(at_ms(0));
     assert!(copies.is_polled(at_ms(4_999)) && !copies.is_polled(at_ms(5_000)));
 }
 
-// What came from another entry may be old there: it is good for one that knows nothing.
+// Data received from a peer may be stale there; it only serves a gateway that has nothing newer.
 #[test]
-fn a_copy_from_another_entry_is_only_the_last_known() {
+fn a_copy_received_from_a_peer_is_only_the_last_known() {
     let copies = FeedCache::default();
     assert!(copies.last_known(at_ms(0), Feed::Members).is_none());
     let whole = page(vec![row("a", 4, true), row("b", 9, true)], 10);
--- a/tests/all/gateway/fleet.rs
+++ b/tests/all/gateway/fleet.rs
@@ -18,13 +18,13 @@
 
 pub(super) const ENTRIES: usize = 7;
 
-/// Requests that are sent at once: an upstream takes fifty from an entry.
+/// Requests in flight at once; an upstream accepts fifty from one gateway.
 const AT_ONCE: usize = 20;
 
 /// Several gateways of one store.
 pub(super) struct Fleet {
     pub(super) store: StoreStandin,
-    /// Between each entry and the store.
+    /// Links between each gateway and the store.
     pub(super) store_links: Vec<FaultProxy>,
     pub(super) entries: Vec<Gateway>,
     pub(super) http: Client,
@@ -44,7 +44,7 @@
             let mut settings = settings(&store);
             settings.store.addr = link.addr().to_string();
             store_links.push(link);
-            // The test is not to be faster than a session lasts.
+            // Sessions must not expire during a test.
             settings.session = TimeSpan::from_secs(60);
             settings.host.id = format!("entry-{n}").parse().expect("a name");
             entries.push(start_gateway_with(settings).await);
@@ -62,35 +62,35 @@
         join_all(self.entries.iter().map(dump)).await
     }
 
-    /// A request of each session to one entry, all of which are served.
+    /// Sends one request per session to a gateway, all of which must succeed.
     pub(super) async fn send_in_sessions(&self, entry: usize, round: &str, sessions: usize) {
         let numbers: Vec<_> = (0..sessions).collect();
-        for some in numbers.chunks(AT_ONCE) {
-            let asked = some.iter().map(|n| self.send_in_session(entry, round, *n));
-            assert!(join_all(asked).await.iter().all(|status| *status == 200));
+        for batch in numbers.chunks(AT_ONCE) {
+            let requests = batch.iter().map(|n| self.send_in_session(entry, round, *n));
+            assert!(join_all(requests).await.iter().all(|status| *status == 200));
         }
     }
 
-    /// How many entries have listed themselves.
+    /// How many gateways have listed themselves.
     pub(super) fn listed(&self) -> usize {
         let row = |n| self.store.get("stallhoist-entries", &format!("entry-{n}"));
         (0..self.entries.len()).filter(|n| row(*n).is_some()).count()
     }
 
-    /// Waits until all entries have listed themselves.
+    /// Waits until all gateways have listed themselves.
     pub(super) async fn wait_until_listed(&self) {
         let count = self.entries.len();
-        wait_until("all entries are listed", async || self.listed() == count).await;
+        wait_until("all gateways are listed", async || self.listed() == count).await;
     }
 
-    /// Where an entry is asked for news, as it listed itself.
+    /// The address at which a gateway serves its peers, as it listed itself.
     pub(super) fn peers_addr(&self, entry: usize) -> String {
         let row = self.store.get("stallhoist-entries", &format!("entry-{entry}"));
         let row = row.expect("it is listed");
         row["peers_addr"].as_str().expect("it has an address").to_owned()
     }
 
-    /// A request of a session to one entry; gives its status.
+    /// Sends a request of a session to a gateway and returns the status.
     pub(super) async fn send_in_session(&self, entry: usize, round: &str, n: usize) -> u16 {
         let url = format!("http://{}/stream/x", self.entries[entry].callers_addr());
         let request = self.http.post(url).header("Host", "test.example").bearer_auth(KEY);
@@ -99,17 +99,17 @@
         answer.status().as_u16()
     }
 
-    /// Waits until so many entries get all their news of configurations from the store.
+    /// Waits until this many gateways read the operators' feed directly from the store.
     pub(super) async fn wait_for_direct_readers(&self, expected: usize) {
-        wait_until("the others ask them", async || {
+        wait_until("the expected number of gateways read the store", async || {
             let dumps = self.dumps().await;
-            let asks_store = |dump: &&Value| dump["news_from"]["Operators"] == "store";
-            dumps.iter().filter(asks_store).count() == expected
+            let reads_store = |dump: &&Value| dump["news_from"]["Operators"] == "store";
+            dumps.iter().filter(reads_store).count() == expected
         })
         .await;
     }
 
-    /// Waits until all entries know the record of a roll-out.
+    /// Waits until all gateways know the record of a rollout.
     pub(super) async fn wait_for_rollout_record(&self) {
         wait_until("all know the record", async || {
             let dumps = self.dumps().await;
@@ -118,25 +118,25 @@
         .await;
     }
 
-    /// Whether all entries know an upstream.
+    /// Whether all gateways know an upstream.
     pub(super) async fn knows_upstream(&self, upstream: &str) -> bool {
         let dumps = self.dumps().await;
         dumps.iter().all(|dump| dump["upstreams"].to_string().contains(upstream))
     }
 
-    /// Waits until so many entries were told that others have so many requests in progress.
+    /// Waits until this many gateways know that their peers have this many requests in progress.
     pub(super) async fn wait_for_peer_work(&self, entries: usize, requests: u32) {
         let wanted = format!("told_by_others={requests} ");
-        wait_until("others' work is told", async || {
+        wait_until("the peers' work is known", async || {
             let dumps = self.dumps().await;
-            let is_told = |dump: &&Value| dump["upstreams"].to_string().contains(&wanted);
-            dumps.iter().filter(is_told).count() == entries
+            let is_known = |dump: &&Value| dump["upstreams"].to_string().contains(&wanted);
+            dumps.iter().filter(is_known).count() == entries
         })
         .await;
     }
 
     pub(super) async fn wait_for_version(&self, version: u64) {
-        wait_until("the configuration is in force everywhere", async || {
+        wait_until("all gateways have the configuration", async || {
             self.dumps().await.iter().all(|dump| dump["config_version"] == version)
         })
         .await;
--- a/tests/all/gateway/peers.rs
+++ b/tests/all/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! News between entries.
+//! Exchange of data and state between gateways.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -26,20 +26,20 @@
 use crate::case::case;
 use crate::harness::wait_until;
 
-/// By this wait the calls of entries that were started later are known.
+/// Identifies the calls of gateways that were started later by their wait.
 const LONG_WAIT_MS: u64 = 777;
 
-/// So many calls of all entries, of which each makes several a second.
-const CALLS_WHILE_AWAY: usize = 60;
+/// Store calls of all gateways, each of which makes several per second.
+const CALLS_WHILE_UNAVAILABLE: usize = 60;
 
-case!(three_entries_follow_the_store_for_all, async {
+case!(three_gateways_follow_the_store_for_all, async {
     let fleet = Fleet::start().await;
     fleet.wait_for_direct_readers(3).await;
     fleet.store.put("op", "config", config(2));
     fleet.wait_for_version(2).await;
 });
 
-case!(entries_whose_relays_are_gone_ask_the_store, async {
+case!(gateways_whose_relays_are_gone_query_the_store, async {
     let mut fleet = Fleet::start().await;
     fleet.wait_for_direct_readers(3).await;
     let dumps = fleet.dumps().await;
@@ -50,25 +50,25 @@
     fleet.wait_for_version(3).await;
 });
 
-// Seen on the bench: four entries saw seven answers each of a version that was slow, and
-// none of them found it out alone (own day rollout-slow, EXPOSURE).
-case!(entries_of_a_small_fleet_judge_together, async {
-    const SEEN_BY_EACH: usize = 3;
+// Four gateways saw seven responses each of a version that was slow, and none of them detected it
+// by itself.
+case!(gateways_of_a_small_fleet_pool_their_evidence, async {
+    const SAMPLES_PER_GATEWAY: usize = 3;
     let old = UpstreamStandin::start("i-old", Behaviour::stream(1)).await.expect("it starts");
     let new = UpstreamStandin::start("i-new", Behaviour::Fail).await.expect("it starts");
     let fleet = Fleet::of(3).await;
     fleet.store.put("servers", "i-old", old.entry(ENGINE, "zone-1", "v1", "ready"));
     fleet.store.put("servers", "i-new", new.entry(ENGINE, "zone-1", "v2", "ready"));
-    wait_until("the entries know each other", async || {
+    wait_until("all gateways are listed", async || {
         (0..3).all(|n| fleet.store.get("stallhoist-entries", &format!("entry-{n}")).is_some())
     })
     .await;
     let order = json!({ "service": ENGINE, "target_version": "v2", "duration_s": 600 });
     fleet.store.put("op", "rollout/engine", order);
     fleet.wait_for_rollout_record().await;
-    // Each entry in turn, until the new version has seen a few more of its requests.
+    // At each gateway in turn, until the new version has received a few more requests.
     for entry in &fleet.entries {
-        let target = new.runs() + SEEN_BY_EACH;
+        let target = new.runs() + SAMPLES_PER_GATEWAY;
         let mut n = 0;
         while new.runs() < target && !is_rolled_back(&fleet.store) {
             n += 1;
@@ -80,12 +80,12 @@
         }
     }
     wait_until("the version is rolled back", async || is_rolled_back(&fleet.store)).await;
-    assert!(new.runs() <= 3 * SEEN_BY_EACH);
+    assert!(new.runs() <= 3 * SAMPLES_PER_GATEWAY);
 });
 
-// An entry that starts in a burst has seen no upstream that is as idle as the new version's: it
-// called none of its slow answers slow, and what it told others made theirs count for less.
-case!(an_entry_is_told_the_usual_times_that_it_has_not_seen, async {
+// A gateway started in a burst has seen no upstream as idle as those of the new version. It counted
+// none of its slow responses as slow, and its evidence diluted that of its peers.
+case!(baseline_latencies_are_sent_to_gateways_that_lack_them, async {
     const SESSIONS: usize = 40;
     let old = UpstreamStandin::start("i-old", Behaviour::stream(1)).await.expect("it starts");
     let fleet = Fleet::of(3).await;
@@ -95,7 +95,7 @@
     fleet.send_in_sessions(0, "first", SESSIONS).await;
     let order = json!({ "service": ENGINE, "target_version": "v2", "duration_s": 600 });
     fleet.store.put("op", "rollout/engine", order);
-    wait_until("the others know its usual times", async || {
+    wait_until("the peers know its baseline latencies", async || {
         let dumps = fleet.dumps().await;
         let knows = |dump: &Value| dump["usual_times"].to_string().contains("First route=stream");
         dumps.iter().all(knows)
@@ -103,9 +103,9 @@
     .await;
 });
 
-// A session that began before the order is in the new version's share by its hash, and goes on
-// at another entry: that one was told that it stays on the old version.
-case!(a_session_that_moves_to_another_entry_keeps_its_version, async {
+// The hash of a session that began before the order falls into the share of the new version. It
+// moves to another gateway, which must have learnt that it stays on the old version.
+case!(a_session_that_moves_to_another_gateway_keeps_its_version, async {
     const SESSIONS: usize = 150;
     let old = UpstreamStandin::start("i-old", Behaviour::stream(1)).await.expect("it starts");
     let new = UpstreamStandin::start("i-new", Behaviour::stream(1)).await.expect("it starts");
@@ -118,7 +118,7 @@
     fleet.store.put("op", "rollout/engine", order);
     let in_share = (0..SESSIONS).filter(|n| in_canary_share(&session(*n))).count();
     assert!(in_share > 0, "the sessions are enough for some to be in the share");
-    wait_until("all entries know which sessions stay", async || {
+    wait_until("all gateways know which sessions stay", async || {
         let dumps = fleet.dumps().await;
         dumps[1..].iter().all(|dump| dump["sessions_told"] == in_share)
     })
@@ -139,8 +139,9 @@
     status.is_some_and(|status| status["state"] == "rolled_back")
 }
 
-// A store that is away keeps nobody from starting: the others tell what they knew last.
-async fn starts_in_spite_of(fault: StoreFault) {
+// An unavailable store does not prevent a gateway from starting: its peers send what they last
+// knew.
+async fn starts_despite(fault: StoreFault) {
     let upstream = UpstreamStandin::start("i-0", Behaviour::stream(1)).await.expect("it starts");
     let mut fleet = Fleet::start().await;
     fleet.store.put("servers", "i-0", upstream.entry(ENGINE, "zone-1", "v1", "ready"));
@@ -166,10 +167,10 @@
     for entry in ENTRIES..fleet.entries.len() {
         assert_eq!(fleet.send_in_session(entry, &format!("at-{entry}"), 1).await, 200);
     }
-    // A store that is away is not waited for long: its return would be noticed too late (seen on
-    // the bench: a configuration in force 2.5 s after it was accepted, hunt-f7ae-71, CONFIG).
-    let asked = fleet.store.calls().len() + CALLS_WHILE_AWAY;
-    wait_until("the store is asked", async || fleet.store.calls().len() > asked).await;
+    // An unavailable store must not be waited for long, else its recovery is noticed too late: a
+    // configuration became active 2.5 s after it was accepted.
+    let expected_calls = fleet.store.calls().len() + CALLS_WHILE_UNAVAILABLE;
+    wait_until("the store is queried", async || fleet.store.calls().len() > expected_calls).await;
     let long_wait = format!("wait_ms={LONG_WAIT_MS}");
     assert!(!fleet.store.calls().iter().any(|call| call.contains(&long_wait)));
     fleet.store.put("op", "config", config(5));
@@ -177,17 +178,18 @@
     fleet.wait_for_version(5).await;
 }
 
-case!(an_entry_that_starts_while_the_store_refuses_asks_a_seed, async {
-    starts_in_spite_of(StoreFault::Status(503)).await;
+case!(a_gateway_that_starts_while_the_store_rejects_calls_polls_a_seed, async {
+    starts_despite(StoreFault::Status(503)).await;
 });
 
-case!(an_entry_that_starts_while_the_store_is_silent_asks_a_seed, async {
-    starts_in_spite_of(StoreFault::Silent).await;
+case!(a_gateway_that_starts_while_the_store_is_silent_polls_a_seed, async {
+    starts_despite(StoreFault::Silent).await;
 });
 
-// A fleet of 103 made 1,133 of the 1,827 calls of a calm day in its first two seconds: nobody knew
-// anybody, so each entry read everything itself, and followed it until the list of entries had come.
-case!(entries_that_start_together_ask_a_seed, async {
+// When a fleet of 103 started, it made 1,133 of the 1,827 store calls of a fault-free day in its
+// first two seconds: no gateway knew any other, so that each one read everything itself and
+// followed it until the list of gateways had arrived.
+case!(gateways_that_start_together_poll_a_seed, async {
     const TOGETHER: usize = 20;
     let mut fleet = Fleet::of(1).await;
     wait_until("the seed is listed", async || fleet.listed() == 1).await;
@@ -206,14 +208,14 @@
     .await;
     let calls = fleet.store.calls();
     let whole_reads = calls.iter().filter(|call| call.contains("rows-get")).count();
-    assert!(whole_reads <= 4 * 4, "{whole_reads} reads of whole feeds by {TOGETHER} entries");
+    assert!(whole_reads <= 4 * 4, "{whole_reads} reads of whole feeds by {TOGETHER} gateways");
 });
 
-// After a loss of power some hosts are up before those of the seeds, which say nothing. Entries
-// waited for them for up to 0.8 s, with a store that answers in milliseconds.
-case!(an_entry_that_starts_does_not_wait_for_silent_seeds, async {
-    // Two seeds that are waited for one after the other take longer.
-    const LONGEST: Duration = Duration::from_millis(1_000);
+// After a power loss some hosts are up before those of the seeds, which are silent. Gateways waited
+// for them for up to 0.8 s, although the store responded within milliseconds.
+case!(startup_does_not_wait_for_silent_seeds, async {
+    // Waiting for two seeds one after the other takes longer.
+    const MAX_STARTUP: Duration = Duration::from_millis(1_000);
     let mut fleet = Fleet::of(1).await;
     wait_until("it is listed", async || fleet.listed() == 1).await;
     let seed_addr = fleet.peers_addr(0).parse().expect("an address");
@@ -229,11 +231,11 @@
     let started = Instant::now();
     fleet.entries.push(start_gateway_with(settings).await);
     wait_until("it is ready", async || fleet.dumps().await[1]["is_ready"] == true).await;
-    assert!(started.elapsed() < LONGEST, "after {:?}", started.elapsed());
+    assert!(started.elapsed() < MAX_STARTUP, "after {:?}", started.elapsed());
 });
 
-// Their copies are no longer fresh, so the relays say that they have none.
-case!(news_comes_after_an_outage_that_all_share, async {
+// The relays' copies are stale, so they respond that they have none.
+case!(updates_arrive_after_an_outage_of_the_whole_fleet, async {
     let fleet = Fleet::start().await;
     fleet.wait_for_direct_readers(3).await;
     fleet.store.set_fault(Some(StoreFault::Status(503)));
@@ -243,35 +245,35 @@
     fleet.wait_for_version(4).await;
 });
 
-// A key that was taken away was served for 2.02 s by the entry that asks another for news: the one
-// that it asked had been cut off from the store, held its copy for fresh when it was asked, and
-// said only at the end of the wait, a second later, that it was no longer.
-case!(news_come_in_time_although_those_that_are_asked_are_cut_off_from_the_store, async {
+// A gateway that polls a relay accepted a revoked key for 2.02 s: its relay had been cut off from
+// the store, its copy was still fresh when the poll arrived, and it reported the copy stale only at
+// the end of the wait, a second later.
+case!(updates_arrive_in_time_while_the_relays_are_cut_off_from_the_store, async {
     // A copy is fresh for 1.5 s; the bound on a configuration is 2 s.
     const BOUND: Duration = Duration::from_millis(1_800);
     let fleet = Fleet::start().await;
     fleet.wait_for_direct_readers(3).await;
     let dumps = fleet.dumps().await;
-    let follow_store: Vec<_> =
+    let is_relay: Vec<_> =
         dumps.iter().map(|dump| dump["news_from"]["Operators"] == "store").collect();
-    for (link, _) in fleet.store_links.iter().zip(&follow_store).filter(|(_, follows)| **follows) {
+    for (link, _) in fleet.store_links.iter().zip(&is_relay).filter(|(_, follows)| **follows) {
         link.hold(Direction::ToOpener);
     }
     fleet.store.put("op", "config", config(2));
     let put = Instant::now();
-    wait_until("those that ask others have the news", async || {
+    wait_until("the pollers have the configuration", async || {
         let dumps = fleet.dumps().await;
-        let mut asking = dumps.iter().zip(&follow_store).filter(|(_, follows)| !**follows);
-        asking.all(|(dump, _)| dump["config_version"] == 2)
+        let mut pollers = dumps.iter().zip(&is_relay).filter(|(_, follows)| !**follows);
+        pollers.all(|(dump, _)| dump["config_version"] == 2)
     })
     .await;
     assert!(put.elapsed() < BOUND, "it took {:?}", put.elapsed());
 });
 
-// Those that ask learnt of the order as soon as the three did, asked them for its record before
-// these had read it themselves, and then followed the store for 8 s: in the first part of each
-// roll-out nobody was told which sessions stay on the old version.
-case!(entries_ask_others_for_records_from_the_order_on, async {
+// The pollers learnt of the order as soon as the three relays did, requested its record before
+// these had read it, and then followed the store for 8 s: during the first part of each rollout no
+// gateway received the sessions that stay on the old version.
+case!(rollout_records_come_from_relays_from_the_order_on, async {
     let fleet = Fleet::start().await;
     fleet.wait_for_direct_readers(3).await;
     let order = json!({ "service": ENGINE, "target_version": "v2", "duration_s": 600 });
@@ -279,39 +281,39 @@
     fleet.wait_for_rollout_record().await;
     let dumps = fleet.dumps().await;
     let direct = dumps.iter().filter(|dump| dump["news_from"]["Rollouts"] == "store").count();
-    assert_eq!(direct, 3, "entries that read the records from the store");
+    assert_eq!(direct, 3, "gateways that read the records from the store");
 });
 
-// The store turned away the three entries that follow it, and one of those that ask them: this one
-// went on asking the store for 8 s, though others that the store served could have answered.
-case!(an_entry_that_the_store_turns_away_asks_others_again, async {
+// The store rejected the three relays and one of their pollers, which went on querying the store
+// for 8 s although peers that the store served could have responded.
+case!(a_gateway_that_the_store_rejects_polls_peers_again, async {
     const BOUND: Duration = Duration::from_secs(4);
     let fleet = Fleet::start().await;
     fleet.wait_for_direct_readers(3).await;
     let is_direct = |dump: &Value| dump["news_from"]["Operators"] == "store";
     let dumps = fleet.dumps().await;
-    let asking = dumps.iter().position(|dump| !is_direct(dump)).expect("some ask others");
-    let turned_away = |n: usize| n == asking || is_direct(&dumps[n]);
-    for n in (0..ENTRIES).filter(|n| turned_away(*n)) {
+    let poller = dumps.iter().position(|dump| !is_direct(dump)).expect("some poll relays");
+    let is_rejected = |n: usize| n == poller || is_direct(&dumps[n]);
+    for n in (0..ENTRIES).filter(|n| is_rejected(*n)) {
         fleet.store_links[n].sever();
     }
-    wait_until("those that are served ask the store", async || {
+    wait_until("the gateways that the store serves query it", async || {
         let dumps = fleet.dumps().await;
-        (0..ENTRIES).filter(|n| !turned_away(*n)).all(|n| is_direct(&dumps[n]))
+        (0..ENTRIES).filter(|n| !is_rejected(*n)).all(|n| is_direct(&dumps[n]))
     })
     .await;
     fleet.store.put("op", "config", config(2));
     let put = Instant::now();
-    wait_until("the one that is turned away has the news", async || {
-        fleet.dumps().await[asking]["config_version"] == 2
+    wait_until("the rejected gateway has the configuration", async || {
+        fleet.dumps().await[poller]["config_version"] == 2
     })
     .await;
     assert!(put.elapsed() < BOUND, "it took {:?}", put.elapsed());
 });
 
-// The entry that it asked first is gone, and stays listed. It told nobody then what it had in progress, nor
-// which upstreams had ended, for as long as that lasted.
-case!(an_entry_whose_relay_is_gone_tells_another_one, async {
+// The first poll target is gone but stays listed. The gateway then sent nobody its work in
+// progress, nor which upstreams had terminated, for as long as that lasted.
+case!(a_gateway_whose_relay_is_gone_updates_another_peer, async {
     let engine = UpstreamStandin::start("i-1", Behaviour::Hang).await.expect("it starts");
     let mut fleet = Fleet::start().await;
     fleet.store.put("servers", "i-1", engine.entry(ENGINE, "zone-1", "v1", "ready"));
@@ -319,21 +321,21 @@
     wait_until("all know the upstream", async || fleet.knows_upstream("i-1 ").await).await;
     let dumps = fleet.dumps().await;
     let source = |n: usize| dumps[n]["news_from"]["Operators"].as_str().unwrap_or_default();
-    let asking = (0..ENTRIES).find(|n| source(*n) != "store").expect("four ask others");
-    let relay = (0..ENTRIES).find(|n| fleet.peers_addr(*n) == source(asking));
+    let poller = (0..ENTRIES).find(|n| source(*n) != "store").expect("four poll relays");
+    let relay = (0..ENTRIES).find(|n| fleet.peers_addr(*n) == source(poller));
     let relay = relay.expect("it is one of them");
     drop(fleet.entries.remove(relay));
-    let asking = if asking > relay { asking - 1 } else { asking };
-    let asked = fleet.send_in_session(asking, "busy", 1);
-    let told = fleet.wait_for_peer_work(ENTRIES - 2, 1);
+    let poller = if poller > relay { poller - 1 } else { poller };
+    let request = fleet.send_in_session(poller, "busy", 1);
+    let received = fleet.wait_for_peer_work(ENTRIES - 2, 1);
     tokio::select! {
-        status = asked => panic!("it was answered with {status}"),
-        () = told => {}
+        status = request => panic!("the request was answered with {status}"),
+        () = received => {}
     }
 });
 
-/// In a fleet of so many entries, the work that one of them has in progress is known to all
-/// others, and forgotten by them when it has ended.
+/// In a fleet of this size, the work that one gateway has in progress becomes known to all others,
+/// and is dropped by them when it has ended.
 macro_rules! work_is_known_to_all {
     ($name:ident, $entries:expr) => {
         case!($name, async {
@@ -342,11 +344,11 @@
             let listed = engine.entry(ENGINE, "zone-1", "v1", "ready");
             fleet.store.put("servers", "i-1", listed);
             wait_until("all know the upstream", async || fleet.knows_upstream("i-1 ").await).await;
-            let asked = fleet.send_in_session(0, "busy", 1);
-            let told = fleet.wait_for_peer_work($entries - 1, 1);
+            let request = fleet.send_in_session(0, "busy", 1);
+            let received = fleet.wait_for_peer_work($entries - 1, 1);
             tokio::select! {
-                status = asked => panic!("it was answered with {status}"),
-                () = told => {}
+                status = request => panic!("the request was answered with {status}"),
+                () = received => {}
             }
             fleet.wait_for_peer_work($entries, 0).await;
         });
