--- a/tests/all/decisions/era_tracker.rs
+++ b/tests/all/decisions/era_tracker.rs
@@ -1,4 +1,4 @@
-//! Which era of the store a feed is known from.
+//! Comparison of the store era of responses with the known one.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
     StoreVersion { era: StoreEra(era), number }
 }
 
-/// After these whole reads, one each second, the last of them is so.
-macro_rules! last_is {
+/// Asserts the result of the last of these whole reads, one per second.
+macro_rules! last_read_is {
     ($name:ident, $reads:expr, $expected:expr) => {
         #[test]
         fn $name() {
@@ -28,27 +28,35 @@
     };
 }
 
-last_is!(the_first_is_the_known_one, [version(7, 3)], EraComparison::Current);
-last_is!(an_older_one_of_the_same_era, [version(7, 3), version(7, 2)], EraComparison::Current);
-last_is!(
-    the_store_has_come_back,
+last_read_is!(the_first_version_is_current, [version(7, 3)], EraComparison::Current);
+last_read_is!(
+    an_older_version_of_the_same_era_is_current,
+    [version(7, 3), version(7, 2)],
+    EraComparison::Current
+);
+last_read_is!(
+    a_restored_store_is_advanced,
     [version(7, 9), version(8, 2)],
     EraComparison::Advanced(version(7, 9))
 );
-last_is!(
-    it_has_come_back_twice,
+last_read_is!(
+    a_store_restored_twice_is_advanced,
     [version(0, 9), version(2, 1)],
     EraComparison::Advanced(version(0, 9))
 );
-last_is!(once_it_is_known, [version(7, 9), version(8, 2), version(8, 1)], EraComparison::Current);
-last_is!(
-    a_late_one,
+last_read_is!(
+    a_later_read_of_the_new_era_is_current,
+    [version(7, 9), version(8, 2), version(8, 1)],
+    EraComparison::Current
+);
+last_read_is!(
+    a_read_of_an_earlier_era_is_stale,
     [version(7, 9), version(8, 2), version(7, 10)],
     EraComparison::Stale(version(8, 2))
 );
 
 #[test]
-fn one_that_comes_for_long_is_believed() {
+fn an_earlier_era_that_persists_is_accepted() {
     let mut tracker = EraTracker::default();
     tracker.record_read(at_ms(0), version(8, 2));
     assert_eq!(
@@ -67,7 +75,7 @@
 }
 
 #[test]
-fn a_late_one_before_one_that_is_not_does_not_count_for_the_next() {
+fn a_read_of_the_current_era_restarts_the_stale_period() {
     let mut tracker = EraTracker::default();
     tracker.record_read(at_ms(0), version(8, 2));
     tracker.record_read(at_ms(1_000), version(7, 5));
@@ -79,7 +87,7 @@
 }
 
 #[test]
-fn what_is_known_goes_first_for_so_long() {
+fn the_grace_period_ends() {
     let mut tracker = EraTracker::default();
     assert_eq!(tracker.grace_left(at_ms(0)), None);
     tracker.begin_grace(at_ms(0), Duration::from_secs(5));
--- a/tests/all/gateway/configuration.rs
+++ b/tests/all/gateway/configuration.rs
@@ -1,4 +1,5 @@
-//! The routing configuration: in force soon, never back, and in spite of the store.
+//! The routing configuration: it becomes active soon, never an older one, and despite store
+//! failures.
 
 use reqwest::Method;
 use serde_json::json;
@@ -21,13 +22,13 @@
 }
 
 async fn wait_for_version(world: &World, version: u64) {
-    wait_until("the configuration is in force", async || {
+    wait_until("the configuration is active", async || {
         world.dump().await["config_version"] == version
     })
     .await;
 }
 
-case!(a_revoked_key_is_refused, async {
+case!(a_revoked_key_is_rejected, async {
     let world = world().await;
     let mut next = config(5);
     next["tenants"][0]["api_keys"] = json!(["another-key"]);
@@ -47,8 +48,8 @@
     assert_eq!(answer.status, 200);
 });
 
-// The key is taken away after the head was read and before the body is.
-case!(a_key_revoked_while_the_body_comes_is_refused, async {
+// The key is revoked after the head was read and before the body is.
+case!(a_key_revoked_while_the_body_arrives_is_rejected, async {
     let world = world().await;
     let mut stream = TcpStream::connect(world.gateway.callers_addr()).await.expect("it listens");
     let head = format!(
@@ -71,18 +72,18 @@
     assert_eq!(world.runs(), 0);
 });
 
-case!(an_older_configuration_is_not_taken, async {
+case!(an_older_configuration_is_not_installed, async {
     let world = world().await;
     world.store.put("op", "config", config(5));
     wait_for_version(&world, 5).await;
     world.store.put("op", "config", config(4));
     world.store.put("op", "config", config(6));
     wait_for_version(&world, 6).await;
-    let log = world.metrics().await;
-    assert!(log.contains("stallhoist_config_version 6"), "{log}");
+    let metrics = world.metrics().await;
+    assert!(metrics.contains("stallhoist_config_version 6"), "{metrics}");
 });
 
-case!(an_unreadable_configuration_leaves_the_last_one_in_force, async {
+case!(an_unreadable_configuration_leaves_the_last_one_active, async {
     let world = world().await;
     world.store.put("op", "config", json!({ "version": 9, "routes": [{ "name": 1 }] }));
     world.store.put("op", "config", config(3));
@@ -91,8 +92,8 @@
     assert_eq!(answer.status, 200);
 });
 
-/// While the store is away the last configuration stays in force, and the next one comes
-/// soon after the store is back.
+/// While the store is unavailable the last configuration stays active, and the next one arrives
+/// soon after it recovers.
 macro_rules! outage {
     ($name:ident, $fault:expr) => {
         case!($name, async {
@@ -111,7 +112,7 @@
 outage!(store_with_too_many_calls, StoreFault::Status(429));
 outage!(silent_store, StoreFault::Silent);
 
-case!(changes_in_a_lost_history_are_read_anew, async {
+case!(changes_missing_in_the_history_are_read_whole, async {
     let world = world().await;
     world.store.set_fault(Some(StoreFault::Status(503)));
     world.store.put("op", "config", config(8));
@@ -121,13 +122,13 @@
     assert!(world.store.calls().iter().filter(|call| call.contains("table=op&part=")).count() >= 2);
 });
 
-// One table that does not answer must not keep an entry from serving.
-case!(an_entry_starts_without_the_records_of_roll_outs, async {
+// One table that does not respond must not keep a gateway from serving.
+case!(a_gateway_starts_without_the_rollout_records, async {
     let world = world().await;
     world.store.set_fault(Some(StoreFault::SilentTable("stallhoist-rollouts".to_owned())));
     let second = super::world::start_gateway(&world.store).await;
     let http = reqwest::Client::builder().no_proxy().build().expect("a client");
-    wait_until("the second entry is ready", async || {
+    wait_until("the second gateway is ready", async || {
         let ready = super::world::readiness(&http, &second.readiness_addr().to_string()).await;
         ready == 200
     })
--- a/tests/all/gateway/slow_links.rs
+++ b/tests/all/gateway/slow_links.rs
@@ -1,19 +1,14 @@
 //! Configurations that are large for the links that carry them.
 //!
-//! What users saw: entries decided by a configuration two versions old more than three seconds
-//! after the newer one had been accepted, and sent requests where routes no longer led.
-//!
-//! The order of events: the configuration grew by 1,400 routes. The three entries that follow the
-//! store had it after 0.8 s, and sent it whole to ten others each, over links that carry four such
-//! copies in a second. Those that asked gave an answer up 1.4 s after they had asked, whatever of it
-//! had come, and asked the next entry, then the store, from the first byte on and with as little
-//! time; the store was well, and was called lost. The next change, of no route at all, came as the
-//! same whole row, on top of all that.
-//!
-//! The evidence: answers of 290,059 bytes that were given up after 65,532 to 245,552 of them, 1.4 s
-//! after the question, 145 times in a day; answers of the store that were given up after 147,381
-//! to 1,376,180 bytes, while every call was answered; links that carried all they could for six
-//! seconds, and no newer configuration at their ends.
+//! Guards against gateways that decide by an outdated configuration, here two versions and more
+//! than three seconds old, because a large one never arrives. The configuration had grown by 1,400
+//! routes. The three relays had it after 0.8 s and sent it whole to ten pollers each, over links
+//! that carry four such copies in a second. The pollers cancelled each transfer after 1.4 s,
+//! whatever its progress (290,059 bytes were cancelled after 65,532 to 245,552 of them, 145 times
+//! in a day), and restarted it at the next peer, then at the store, with as little time. Transfers
+//! from the store were cancelled after 147,381 to 1,376,180 bytes, and it counted as lost although
+//! it responded to every call. The links were saturated for six seconds without delivering a
+//! configuration, and the next change, of no route at all, was sent as the same whole row on top.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -35,20 +30,20 @@
 use crate::case::case;
 use crate::harness::wait_until;
 
-/// Routes that are added at once: the configuration has 0.3 MB with them.
+/// Number of routes added at once, which make a configuration of 0.3 MB.
 const ROUTES: u64 = 1_400;
 
-/// What a slow link carries. A whole configuration takes two seconds on it, more than any call.
+/// Bandwidth of a slow link. A whole configuration takes two seconds on it, more than any call.
 const SLOW_BYTES_PER_S: u32 = 150_000;
 
-/// The shorter configurations of the other tests, and many routes with names of their own.
+/// The configuration of the other tests with many additional routes.
 fn large_config(version: u64) -> Value {
     let mut config = config(version);
     add_routes(&mut config, ROUTES);
     config
 }
 
-case!(a_large_configuration_comes_over_a_slow_link_to_the_store, async {
+case!(a_large_configuration_arrives_over_a_slow_link_to_the_store, async {
     let fleet = Fleet::of(1).await;
     fleet.wait_for_version(1).await;
     fleet.store_links[0].throttle(SLOW_BYTES_PER_S);
@@ -56,8 +51,7 @@
     fleet.wait_for_version(2).await;
 });
 
-/// Seven entries: those that ask others have slow links to the store, and all have slow links to
-/// each other.
+/// Seven gateways: the pollers have slow links to the store, and all have slow links to each other.
 struct SlowFleet {
     fleet: Fleet,
     peer_links: Vec<FaultProxy>,
@@ -67,7 +61,7 @@
     async fn start() -> Self {
         let fleet = Fleet::start().await;
         let mut peer_links = Vec::new();
-        wait_until("all entries are listed", async || fleet.listed() == ENTRIES).await;
+        wait_until("all gateways are listed", async || fleet.listed() == ENTRIES).await;
         for n in 0..ENTRIES {
             let addr = fleet.peers_addr(n).parse().expect("an address");
             let link = FaultProxy::start(addr).await.expect("a proxy starts");
@@ -76,7 +70,7 @@
             peer_links.push(link);
         }
         let slow_fleet = Self { fleet, peer_links };
-        slow_fleet.wait_until_asked().await;
+        slow_fleet.wait_until_polled().await;
         let dumps = slow_fleet.fleet.dumps().await;
         for (link, dump) in slow_fleet.fleet.store_links.iter().zip(&dumps) {
             if dump["news_from"]["Operators"] != "store" {
@@ -89,40 +83,40 @@
         slow_fleet
     }
 
-    /// Waits until three entries follow the store, and the others ask these over the links.
-    async fn wait_until_asked(&self) {
+    /// Waits until three gateways follow the store, and the others poll these over the links.
+    async fn wait_until_polled(&self) {
         let links: Vec<_> = self.peer_links.iter().map(|link| link.addr().to_string()).collect();
-        wait_until("the others ask over the links", async || {
+        wait_until("the others poll over the links", async || {
             let dumps = self.fleet.dumps().await;
             let sources = dumps.iter().map(|dump| dump["news_from"]["Operators"].as_str());
-            let asking = sources.flatten().filter(|source| links.iter().any(|l| l == source));
-            asking.count() == ENTRIES - 3
+            let polling = sources.flatten().filter(|source| links.iter().any(|l| l == source));
+            polling.count() == ENTRIES - 3
         })
         .await;
     }
 
-    /// What entries have been answered by others so far.
-    fn answered_bytes(&self) -> usize {
+    /// Bytes that gateways have received from peers so far.
+    fn received_bytes(&self) -> usize {
         self.peer_links.iter().map(|link| link.passed_bytes(Direction::ToOpener)).sum()
     }
 }
 
-case!(entries_on_slow_links_get_a_large_configuration_from_others, async {
-    // What the change of a number may take at most, for all entries that ask and with what they
-    // tell each other meanwhile.
+case!(gateways_on_slow_links_receive_a_large_configuration_from_peers, async {
+    // Maximum traffic for the change of one number, to all pollers and with the state that they
+    // exchange meanwhile.
     const SMALL_CHANGE_BYTES: usize = 100_000;
     let slow = SlowFleet::start().await;
     slow.fleet.store.put("op", "config", large_config(2));
     slow.fleet.wait_for_version(2).await;
-    let before = slow.answered_bytes();
+    let before = slow.received_bytes();
     slow.fleet.store.put("op", "config", large_config(3));
     slow.fleet.wait_for_version(3).await;
-    let took = slow.answered_bytes() - before;
+    let took = slow.received_bytes() - before;
     assert!(took < SMALL_CHANGE_BYTES, "a small change took {took} bytes");
 });
 
 impl SlowFleet {
-    /// Starts an entry that does not reach the store, and asks the first one as a seed.
+    /// Starts a gateway that cannot reach the store, with the first gateway as its seed.
     async fn start_without_the_store(&mut self) {
         let store_link = FaultProxy::start(self.fleet.store.addr()).await.expect("a proxy starts");
         store_link.hold(Direction::ToOpener);
@@ -135,9 +129,10 @@
     }
 }
 
-// It was never ready: a seed that needed longer than 0.4 s for the whole answer was given up too.
+// A transfer from a seed that took longer than 0.4 s was cancelled too, and the gateway never
+// became ready.
 case!(
-    an_entry_that_starts_while_the_store_is_silent_gets_a_large_configuration_from_a_seed,
+    a_gateway_that_starts_while_the_store_is_silent_receives_a_large_configuration_from_a_seed,
     async {
         let mut slow = SlowFleet::start().await;
         slow.fleet.store.put("op", "config", large_config(2));
@@ -147,9 +142,9 @@
     }
 );
 
-// At 300 hosts, lists of upstreams that entries read at a start were most of what they sent each
-// other: each row is short, and all are much alike.
-case!(an_entry_that_starts_is_told_a_long_list_of_upstreams_in_few_bytes, async {
+// In a fleet of 300 hosts, lists of upstreams read at startup were most of the traffic between
+// gateways: each row is short, and all are much alike.
+case!(a_long_list_of_upstreams_is_sent_in_few_bytes_at_startup, async {
     const UPSTREAMS: usize = 500;
     const FEW_BYTES: usize = 30_000;
     let mut slow = SlowFleet::start().await;
@@ -167,13 +162,13 @@
     wait_until("all know the upstreams", async || know_all(&slow.fleet).await).await;
     let before = slow.peer_links[0].passed_bytes(Direction::ToOpener);
     slow.start_without_the_store().await;
-    wait_until("the one that starts knows them", async || know_all(&slow.fleet).await).await;
+    wait_until("the starting gateway knows them", async || know_all(&slow.fleet).await).await;
     let took = slow.peer_links[0].passed_bytes(Direction::ToOpener) - before;
     assert!(took < FEW_BYTES, "{took} bytes for a list of {list_bytes}");
 });
 
-// Connections that are open fall silent for good, without a reset; new ones work.
-case!(news_come_in_time_although_open_connections_between_entries_fall_silent, async {
+// Open connections fall silent for good, without a reset; new ones work.
+case!(updates_arrive_in_time_while_open_connections_between_gateways_are_silent, async {
     // The bound on a configuration is 2 s.
     const BOUND: Duration = Duration::from_millis(2_000);
     let slow = SlowFleet::start().await;
@@ -184,7 +179,7 @@
     assert!(put.elapsed() < BOUND, "it took {:?}", put.elapsed());
 });
 
-case!(news_come_although_open_connections_to_the_store_fall_silent, async {
+case!(updates_arrive_while_open_connections_to_the_store_are_silent, async {
     let fleet = Fleet::of(3).await;
     fleet.wait_for_version(1).await;
     fleet.store_links.iter().for_each(FaultProxy::silence);
