--- a/crates/gateway/src/request/execution/after_broken_response.rs
+++ b/crates/gateway/src/request/execution/after_broken_response.rs
@@ -34,7 +34,7 @@
             state.upstreams.observe(now, incarnation, Evidence::Ended);
             state.fatal.record_crash(now, self.call.fingerprint(), incarnation);
             state.confirm_termination(incarnation);
-        } else if cause.may_be_confirmed_later() && !state.suspend_recovery.is_catching_up() {
+        } else if cause.may_be_confirmed_later() && !state.suspend_recovery.is_resyncing() {
             state.fatal.record_broken_stream(state.now(), self.call.fingerprint(), incarnation);
         }
         self.log_broken_response(incarnation, has_crashed);
--- a/crates/gateway/src/request/execution/quarantine.rs
+++ b/crates/gateway/src/request/execution/quarantine.rs
@@ -6,7 +6,7 @@
 use stallhoist_policy::fatal::Disposition;
 
 use super::Execution;
-use crate::fatal::Try;
+use crate::fatal::Trial;
 use crate::request::AbandonReason;
 
 /// `Retry-After` of a request that is quarantined for good: long, as nothing will have changed.
@@ -26,7 +26,7 @@
     /// [`AbandonReason::HeldBack`] when the request is quarantined and has not run; [`AbandonReason::Lost`]
     /// when it is quarantined and may have run.
     pub(super) async fn check_crashes(&mut self) -> Result<(), AbandonReason> {
-        self.apart_seed = None;
+        self.isolation_seed = None;
         if !self.state.fatal.is_used() {
             return Ok(());
         }
@@ -41,13 +41,13 @@
                 if self.progress.attempts() > 0 {
                     return Err(self.reject_quarantined(None));
                 }
-                self.trial = Try::begin(&self.state, request).await;
+                self.trial = Trial::begin(&self.state, request).await;
                 if self.trial.is_none() {
                     return Err(self.reject_quarantined(None));
                 }
             }
         }
-        self.apart_seed = Some(request.seed());
+        self.isolation_seed = Some(request.seed());
         Ok(())
     }
 
