--- a/crates/policy/src/admission/controller.rs
+++ b/crates/policy/src/admission/controller.rs
@@ -114,29 +114,29 @@
     }
 
     /// Starts, queues or rejects a request.
-    pub fn offer(&mut self, now: MonoTime, work: AdmissionRequest<Id>) -> AdmissionDecision {
+    pub fn offer(&mut self, now: MonoTime, request: AdmissionRequest<Id>) -> AdmissionDecision {
         self.reservations.expire_missed(now);
-        let key = work.key;
-        let waiting = self.queued_request(now, work);
-        let prediction = self.predict_queued(now, &waiting);
+        let key = request.key;
+        let queued = self.queued_request(now, request);
+        let prediction = self.predict_queued(now, &queued);
         if let Some((reason, earliest)) = prediction.refusal {
             let retry_after = self.reserve(now, key, reason, earliest);
             return AdmissionDecision::Refused { reason, retry_after };
         }
         self.reservations.redeem(key);
         if self.can_start_now() {
-            self.start(now, &waiting.work);
+            self.start(now, &queued.request);
             return AdmissionDecision::Start;
         }
-        let predicted_wait = self.estimate_wait(now, self.queue.position(now, &waiting), 0);
-        self.queue.insert(now, QueuedRequest { predicted_wait, ..waiting });
+        let predicted_wait = self.estimate_wait(now, self.queue.position(now, &queued), 0);
+        self.queue.insert(now, QueuedRequest { predicted_wait, ..queued });
         AdmissionDecision::Queued
     }
 
     /// Predicts the decision on a request that is offered now.
-    pub fn predict(&self, now: MonoTime, work: AdmissionRequest<Id>) -> Prediction {
-        let waiting = self.queued_request(now, work);
-        self.predict_queued(now, &waiting)
+    pub fn predict(&self, now: MonoTime, request: AdmissionRequest<Id>) -> Prediction {
+        let queued = self.queued_request(now, request);
+        self.predict_queued(now, &queued)
     }
 
     /// Starts and rejects queued requests. To be called when a request has finished and at
@@ -144,20 +144,20 @@
     pub fn next(&mut self, now: MonoTime) -> Vec<QueueDecision<Id>> {
         let mut decisions = Vec::new();
         for overdue in self.queue.take_overdue(now) {
-            let waited = now.since(overdue.work.arrived);
+            let waited = now.since(overdue.request.arrived);
             self.estimator.observe_wait_error(overdue.predicted_wait, waited);
             let earliest = self.drain_time(now);
             let retry_after =
-                self.reserve(now, overdue.work.key, NotRunReason::Overloaded, earliest);
-            decisions.push(QueueDecision::Refused { id: overdue.work.id, retry_after });
+                self.reserve(now, overdue.request.key, NotRunReason::Overloaded, earliest);
+            decisions.push(QueueDecision::Refused { id: overdue.request.id, retry_after });
         }
         while self.has_free_slot()
-            && let Some(waiting) = self.queue.pop(now)
+            && let Some(queued) = self.queue.pop(now)
         {
-            let waited = now.since(waiting.work.arrived);
-            self.estimator.observe_wait_error(waiting.predicted_wait, waited);
-            self.start(now, &waiting.work);
-            decisions.push(QueueDecision::Start(waiting.work.id));
+            let waited = now.since(queued.request.arrived);
+            self.estimator.observe_wait_error(queued.predicted_wait, waited);
+            self.start(now, &queued.request);
+            decisions.push(QueueDecision::Start(queued.request.id));
         }
         decisions
     }
@@ -211,7 +211,7 @@
             self.estimator.observe_call(took);
             return;
         }
-        self.estimator.observe_answer(completion_tokens);
+        self.estimator.observe_response_length(completion_tokens);
         let is_single_piece = running.generated_tokens < completion_tokens / 2;
         if is_single_piece {
             let prefill = self.estimator.prefill(running.prefill_ahead_tokens);
@@ -236,23 +236,23 @@
         self.queue.len() == 0 && self.has_free_slot()
     }
 
-    fn start(&mut self, now: MonoTime, work: &AdmissionRequest<Id>) {
+    fn start(&mut self, now: MonoTime, request: &AdmissionRequest<Id>) {
         let left = self.prefill_until.since(now);
         let ahead = self.estimator.prefill_tokens_in(left);
-        let own = self.estimator.prefill(work.uncached_tokens as f64);
+        let own = self.estimator.prefill(request.uncached_tokens as f64);
         self.prefill_until = now.after(left + own);
         let step = self.estimator.steps().step(self.running.len() + 1);
         let running = Running {
             started: now,
             predicted_first: left + own + step,
-            uncached_tokens: work.uncached_tokens,
-            prefill_ahead_tokens: work.uncached_tokens as f64 + ahead,
-            expected_tokens: self.estimator.expected_tokens(work.completion_tokens),
-            bound_tokens: work.completion_tokens,
+            uncached_tokens: request.uncached_tokens,
+            prefill_ahead_tokens: request.uncached_tokens as f64 + ahead,
+            expected_tokens: self.estimator.expected_tokens(request.completion_tokens),
+            bound_tokens: request.completion_tokens,
             generated_tokens: 0,
             last_token: None,
         };
-        self.running.insert(work.id.clone(), running);
+        self.running.insert(request.id.clone(), running);
     }
 
     /// Resets the prefill backlog after a first token, if no other first token is awaited.
@@ -262,30 +262,30 @@
         }
     }
 
-    fn queued_request(&self, now: MonoTime, work: AdmissionRequest<Id>) -> QueuedRequest<Id> {
+    fn queued_request(&self, now: MonoTime, request: AdmissionRequest<Id>) -> QueuedRequest<Id> {
         let batch = self.concurrency();
-        let time_to_first_token = self.estimator.first_token(work.uncached_tokens as f64, batch);
+        let time_to_first_token = self.estimator.first_token(request.uncached_tokens as f64, batch);
         let margin = self.estimator.first_token_margin();
-        let tokens = self.estimator.long_tokens(work.completion_tokens);
-        let service = self.estimator.service(work.uncached_tokens, tokens, batch);
+        let tokens = self.estimator.long_tokens(request.completion_tokens);
+        let service = self.estimator.service(request.uncached_tokens, tokens, batch);
         let after_first = service.saturating_sub(time_to_first_token);
-        let latest = MonoTime(work.deadline.0.saturating_sub(after_first.as_micros() as u64));
+        let latest = MonoTime(request.deadline.0.saturating_sub(after_first.as_micros() as u64));
         let first_token_due = latest.min(now.after(self.config.first_token_target));
-        let is_reserved = self.reservations.is_due(now, work.key);
+        let has_reservation = self.reservations.is_due(now, request.key);
         QueuedRequest {
-            work,
+            request,
             first_token_due,
-            is_reserved,
+            has_reservation,
             predicted_wait: Duration::ZERO,
             time_to_first_token: time_to_first_token + margin,
             service,
         }
     }
 
-    fn predict_queued(&self, now: MonoTime, waiting: &QueuedRequest<Id>) -> Prediction {
-        let position = self.queue.position(now, waiting);
+    fn predict_queued(&self, now: MonoTime, queued: &QueuedRequest<Id>) -> Prediction {
+        let position = self.queue.position(now, queued);
         let mut wait = self.estimate_wait(now, position, 0);
-        if !waiting.is_reserved {
+        if !queued.has_reservation {
             // Reservations that are due by then go first.
             let reserved = self.reservations.count_until(now.after(wait));
             if reserved > 0 {
@@ -294,11 +294,11 @@
         }
         let batch = self.concurrency().min(self.running.len() + 1);
         let prefill_left = self.prefill_until.since(now.after(wait));
-        let own = self.estimator.first_token(waiting.work.uncached_tokens as f64, batch);
+        let own = self.estimator.first_token(queued.request.uncached_tokens as f64, batch);
         let first_token = wait + prefill_left + own;
-        let budget = waiting.first_token_due.since(now);
+        let budget = queued.first_token_due.since(now);
         let mut margin = self.estimator.first_token_margin();
-        if waiting.is_reserved {
+        if queued.has_reservation {
             // Only requests without a reservation bear the margin.
             margin = Duration::ZERO;
         } else if !wait.is_zero() {
@@ -307,8 +307,8 @@
         let budget = budget.saturating_sub(margin);
         let is_full = self.queue.len() >= self.config.max_queue_len_requests;
         let is_congested = (!wait.is_zero() && is_full)
-            || (!waiting.is_reserved && self.would_delay_queued(now, waiting, position));
-        let refusal = if waiting.work.deadline <= now {
+            || (!queued.has_reservation && self.would_delay_queued(now, queued, position));
+        let refusal = if queued.request.deadline <= now {
             Some((NotRunReason::DeadlinePassed, MIN_RETRY_AFTER))
         } else if first_token > budget && self.estimator.is_trained() {
             let earliest = first_token.saturating_sub(budget).max(MIN_RETRY_AFTER);
--- a/crates/policy/src/admission/estimator.rs
+++ b/crates/policy/src/admission/estimator.rs
@@ -74,7 +74,7 @@
     }
 
     /// Records the length of a whole response.
-    pub fn observe_answer(&mut self, completion_tokens: u64) {
+    pub fn observe_response_length(&mut self, completion_tokens: u64) {
         let tokens = completion_tokens as f64;
         smooth(&mut self.mean_tokens, tokens);
         if self.long_tokens == 0.0 {
--- a/crates/policy/src/admission/forecast.rs
+++ b/crates/policy/src/admission/forecast.rs
@@ -17,23 +17,23 @@
     pub(super) fn would_delay_queued(
         &self,
         now: MonoTime,
-        waiting: &QueuedRequest<Id>,
+        queued: &QueuedRequest<Id>,
         position: usize,
     ) -> bool {
         if position >= self.queue.len() {
             return false;
         }
         let mut free_at = self.slot_free_times(now);
-        let mut take = |waiting: &QueuedRequest<Id>| {
+        let mut take = |queued: &QueuedRequest<Id>| {
             let Reverse(free) = free_at.pop().unwrap_or_default();
-            free_at.push(Reverse(free + waiting.service));
+            free_at.push(Reverse(free + queued.service));
             free
         };
         let before = self.queue.iter().take(position);
         before.for_each(|other| {
             take(other);
         });
-        take(waiting);
+        take(queued);
         let mut after = self.queue.iter().skip(position);
         after.any(|other| now.after(take(other)) > other.latest_start())
     }
@@ -54,7 +54,7 @@
         let mut free_at = self.slot_free_times(now);
         let mean = self.estimator.mean_service(self.concurrency());
         let reserved = std::iter::repeat_n(mean, reserved);
-        let ahead = self.queue.iter().take(position).map(|waiting| waiting.service);
+        let ahead = self.queue.iter().take(position).map(|queued| queued.service);
         for service in ahead.chain(reserved) {
             let Reverse(free) = free_at.pop().unwrap_or_default();
             free_at.push(Reverse(free + service));
--- a/crates/policy/src/cascade/learner.rs
+++ b/crates/policy/src/cascade/learner.rs
@@ -167,18 +167,20 @@
         second: &CascadeModel,
         fits_deadline: impl Fn(Duration) -> bool,
     ) -> PlanEstimate {
-        let (one, two) = (self.stats(&first.model), self.stats(&second.model));
-        let escalation_rate = 1.0 - one.quality();
+        let (first_stats, second_stats) = (self.stats(&first.model), self.stats(&second.model));
+        let escalation_rate = 1.0 - first_stats.quality();
         // The rater decides on the first response, so uncertainty about the first model affects
         // the cost, and uncertainty about the second the quality.
-        let quality = one.quality() + escalation_rate * two.quality_lower_bound();
+        let quality = first_stats.quality() + escalation_rate * second_stats.quality_lower_bound();
         PlanEstimate {
             plan: Plan::Cascade(first.model.clone(), second.model.clone()),
             quality,
-            optimistic_quality: one.quality()
+            optimistic_quality: first_stats.quality()
                 + escalation_rate * self.optimistic_quality(&second.model),
-            cost: one.cost(first.price) + escalation_rate * two.cost(second.price),
-            fits_deadline: fits_deadline(one.latency() + self.config.rating + two.latency()),
+            cost: first_stats.cost(first.price) + escalation_rate * second_stats.cost(second.price),
+            fits_deadline: fits_deadline(
+                first_stats.latency() + self.config.rating + second_stats.latency(),
+            ),
         }
     }
 
--- a/crates/sidecar/src/upstream/engine.rs
+++ b/crates/sidecar/src/upstream/engine.rs
@@ -82,8 +82,8 @@
         if let Some(reported) = reported_usage(&event.data) {
             *usage = Some(reported);
         } else {
-            let has_room = shared.admission.lock().token(shared.now(), &answer.id);
-            if has_room {
+            let may_start_queued = shared.admission.lock().token(shared.now(), &answer.id);
+            if may_start_queued {
                 shared.admission_changed.notify_one();
             }
         }
--- a/tests/all/cascade.rs
+++ b/tests/all/cascade.rs
@@ -32,7 +32,7 @@
         assert_eq!(answer.status, 200, "{answer:?}");
         let expected = format!("[{}] x w2 w3", answer.target);
         let text = if stream { answer.streamed_text() } else { answer.text() };
-        assert_eq!(text, expected, "the answer is one model's, whole");
+        assert_eq!(text, expected, "the response is complete and from one model");
         if stream {
             assert_eq!(answer.events().last().map(String::as_str), Some("[DONE]"));
         }
@@ -56,8 +56,10 @@
     let cheap_runs = fleet.engines[0].executions().len();
     assert!((1..=40).contains(&cheap_runs), "{cheap_runs} of 60");
     // One bill record per request, with the usage of both models.
-    wait_until("all are billed", || async { fleet.entry_state(0).await["unsettled_bills"] == 0 })
-        .await;
+    wait_until("all bill records are settled", || async {
+        fleet.entry_state(0).await["unsettled_bills"] == 0
+    })
+    .await;
     let mut bills = BTreeMap::new();
     for record in fleet.ledger_records() {
         let held: &mut u64 = bills.entry(record.request).or_default();
--- a/tests/all/decisions/limits.rs
+++ b/tests/all/decisions/limits.rs
@@ -55,7 +55,7 @@
     let mut limiter = RowLimiter::default();
     let admit = |limiter: &mut RowLimiter| limiter.admit(at_ms(0), &limits, single_entry(), 10);
     assert!(admit(&mut limiter).is_ok() && admit(&mut limiter).is_ok());
-    let refused = admit(&mut limiter).expect_err("two are in progress");
+    let refused = admit(&mut limiter).expect_err("the concurrency limit is reached");
     assert_eq!(refused.retry_after, Duration::from_millis(500));
     limiter.ended();
     assert!(admit(&mut limiter).is_ok());
--- a/tests/all/guard.rs
+++ b/tests/all/guard.rs
@@ -58,7 +58,7 @@
     assert_all_go_to(&fleet, "m@v1").await;
     let addr = fleet.entries[0].addr("operators_addr");
     let table = fleet.operators(addr, "/v1/table").await;
-    assert_eq!(table["revision"], 1, "no cell was touched");
+    assert_eq!(table["revision"], 1, "the table is unchanged");
     fleet.engines[2].set_switches(EngineSwitches::default());
     fleet.engines[3].set_switches(EngineSwitches::default());
     let clear = move || {
@@ -69,7 +69,7 @@
             .status()
             .expect("the command runs")
     };
-    assert!(tokio::task::spawn_blocking(clear).await.expect("it ends").success());
+    assert!(tokio::task::spawn_blocking(clear).await.expect("the command ends").success());
     wait_until("the version serves again", || async {
         let answer = send(fleet.caller(0).chat("m", "x", 2, false)).await.expect("an answer");
         answer.target == "m@v2"
--- a/tests/all/leases.rs
+++ b/tests/all/leases.rs
@@ -33,10 +33,10 @@
 case!(one_process_holds_and_renews_a_lease, async {
     let platform = platform().await;
     let (mut a, mut b) = (holder(&platform), holder(&platform));
-    let first = a.acquire(at_s(0)).await.expect("it is free");
+    let first = a.acquire(at_s(0)).await.expect("the lease is free");
     assert!(first.is_valid(at_s(9)) && !first.is_valid(at_s(10)));
     assert!(matches!(b.acquire(at_s(0)).await, Err(LeaseError::HeldByAnother)));
-    let renewed = a.acquire(at_s(8)).await.expect("its holder renews it");
+    let renewed = a.acquire(at_s(8)).await.expect("the holder renews the lease");
     assert_eq!(renewed.token, first.token);
     assert!(renewed.is_valid(at_s(17)));
 });
@@ -46,7 +46,7 @@
 case!(an_expired_lease_is_taken_over_with_a_higher_token, async {
     let platform = platform().await;
     let (mut a, mut b) = (holder(&platform), holder(&platform));
-    let old = a.acquire(at_s(0)).await.expect("it is free");
+    let old = a.acquire(at_s(0)).await.expect("the lease is free");
     assert!(b.acquire(at_s(1)).await.is_err(), "b starts to observe the lease");
     assert!(b.acquire(at_s(10)).await.is_err(), "not yet expired by the clock of b");
     let new = b.acquire(at_s(12)).await.expect("it was not renewed for its whole duration");
@@ -57,9 +57,9 @@
 case!(a_renewal_restarts_the_observation, async {
     let platform = platform().await;
     let (mut a, mut b) = (holder(&platform), holder(&platform));
-    a.acquire(at_s(0)).await.expect("it is free");
+    a.acquire(at_s(0)).await.expect("the lease is free");
     assert!(b.acquire(at_s(1)).await.is_err());
-    a.acquire(at_s(9)).await.expect("it is renewed");
+    a.acquire(at_s(9)).await.expect("the lease is renewed");
     assert!(b.acquire(at_s(12)).await.is_err(), "the observation restarts at the renewal");
     assert!(b.acquire(at_s(23)).await.is_ok());
 });
@@ -71,7 +71,7 @@
     let mut a = holder(&platform);
     platform.set_faults(Faults { lose_write_replies: 1, ..Faults::default() });
     assert!(matches!(a.acquire(at_s(0)).await, Err(LeaseError::Store(_))));
-    a.acquire(at_s(1)).await.expect("its own lease is found");
+    a.acquire(at_s(1)).await.expect("the lease is found");
 });
 
 case!(no_lease_is_acquired_during_an_outage, async {
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -37,7 +37,7 @@
     let answer = send(fleet.caller(entry).chat("m@v1", "x", 1, false)).await.expect("an answer");
     let refused = (answer.status, answer.outcome.as_str(), answer.code());
     assert_eq!(refused, (429, "not-run", "limit-reached".to_owned()));
-    assert!(answer.retry_after.is_some(), "it is told when to come back");
+    assert!(answer.retry_after.is_some(), "a rejection has a retry time");
 }
 
 case!(concurrency_is_limited_across_both_entries, async {
@@ -47,12 +47,13 @@
         let request = fleet.caller(entry).chat("m@v1", "x", LONG_COMPLETION_TOKENS, true);
         running.push(tokio::spawn(send(request)));
         let expected = running.len();
-        wait_until("it runs", async || fleet.engines[0].executions().len() == expected).await;
+        wait_until("the request runs", async || fleet.engines[0].executions().len() == expected)
+            .await;
         assert_refused(&fleet, entry).await;
     }
     // A caller that disconnects frees its share.
     running[0].abort();
-    wait_until("the first entry takes requests again", async || {
+    wait_until("the first entry admits requests again", async || {
         let answer = send(fleet.caller(0).chat("m@v1", "x", 1, false)).await;
         answer.is_some_and(|answer| answer.status == 200)
     })
--- a/tests/all/policy.rs
+++ b/tests/all/policy.rs
@@ -246,7 +246,7 @@
     assert!((46..=51).contains(&batch), "{batch}");
 }
 
-fn work(id: u32, now: MonoTime, deadline_ms: u64) -> AdmissionRequest<u32> {
+fn admission_request(id: u32, now: MonoTime, deadline_ms: u64) -> AdmissionRequest<u32> {
     AdmissionRequest {
         id,
         key: u64::from(id),
@@ -262,7 +262,7 @@
     let config = AdmissionConfig { max_in_flight_requests: 1, ..AdmissionConfig::default() };
     let mut admission = AdmissionController::new(config);
     for id in 0..50 {
-        admission.offer(at_ms(0), work(id, at_ms(0), 10_000));
+        admission.offer(at_ms(0), admission_request(id, at_ms(0), 10_000));
         admission.finished(at_ms(100), &id, 0);
     }
     admission
@@ -271,9 +271,18 @@
 #[test]
 fn queued_requests_start_in_deadline_order() {
     let mut admission = single_slot();
-    assert_eq!(admission.offer(at_ms(0), work(100, at_ms(0), 5_000)), AdmissionDecision::Start);
-    assert_eq!(admission.offer(at_ms(1), work(101, at_ms(1), 1_500)), AdmissionDecision::Queued);
-    assert_eq!(admission.offer(at_ms(2), work(102, at_ms(2), 700)), AdmissionDecision::Queued);
+    assert_eq!(
+        admission.offer(at_ms(0), admission_request(100, at_ms(0), 5_000)),
+        AdmissionDecision::Start
+    );
+    assert_eq!(
+        admission.offer(at_ms(1), admission_request(101, at_ms(1), 1_500)),
+        AdmissionDecision::Queued
+    );
+    assert_eq!(
+        admission.offer(at_ms(2), admission_request(102, at_ms(2), 700)),
+        AdmissionDecision::Queued
+    );
     admission.finished(at_ms(100), &100, 0);
     assert_eq!(admission.next(at_ms(100)), [QueueDecision::Start(102)]);
 }
@@ -284,7 +293,7 @@
     let mut refused = None;
     for id in 100..200 {
         if let AdmissionDecision::Refused { reason, retry_after } =
-            admission.offer(at_ms(0), work(id, at_ms(0), 1_000))
+            admission.offer(at_ms(0), admission_request(id, at_ms(0), 1_000))
         {
             assert_eq!(reason, NotRunReason::Overloaded);
             refused = Some((id, retry_after));
@@ -306,7 +315,7 @@
         }
         now = now.after(Duration::from_millis(100));
     }
-    let returned = admission.offer(back, work(id, back, 1_000));
+    let returned = admission.offer(back, admission_request(id, back, 1_000));
     assert!(
         matches!(returned, AdmissionDecision::Start | AdmissionDecision::Queued),
         "{returned:?}"
@@ -317,8 +326,11 @@
 #[test]
 fn an_overdue_queued_request_is_rejected() {
     let mut admission = single_slot();
-    admission.offer(at_ms(0), work(100, at_ms(0), 60_000));
-    assert_eq!(admission.offer(at_ms(1), work(101, at_ms(1), 1_000)), AdmissionDecision::Queued);
+    admission.offer(at_ms(0), admission_request(100, at_ms(0), 60_000));
+    assert_eq!(
+        admission.offer(at_ms(1), admission_request(101, at_ms(1), 1_000)),
+        AdmissionDecision::Queued
+    );
     let due = admission.next_due().expect("a request is queued");
     let late = due.after(Duration::from_millis(1));
     let refused = admission.next(late);
@@ -328,7 +340,7 @@
 #[test]
 fn a_passed_deadline_is_rejected_with_its_own_reason() {
     let mut admission = single_slot();
-    let refused = admission.offer(at_ms(5), work(100, at_ms(5), 0));
+    let refused = admission.offer(at_ms(5), admission_request(100, at_ms(5), 0));
     assert!(matches!(
         refused,
         AdmissionDecision::Refused { reason: NotRunReason::DeadlinePassed, .. }
