--- a/crates/policy/src/cascade/learner.rs
+++ b/crates/policy/src/cascade/learner.rs
@@ -16,22 +16,22 @@
 #[derive(Debug, Clone)]
 pub struct CascadeConfig {
     /// The fraction of requests that take a random cascade, to explore its first model.
-    pub explore: f64,
+    pub exploration_rate: f64,
     /// The expected latency of the rater.
     pub rating: Duration,
     /// The number of ratings from which on the quality of a model counts as known.
-    pub known_ratings: f64,
+    pub min_ratings: f64,
     /// The factor on the expected latency of a plan, which must fit the deadline.
-    pub time_margin: f64,
+    pub latency_factor: f64,
 }
 
 impl Default for CascadeConfig {
     fn default() -> Self {
         Self {
-            explore: 0.02,
+            exploration_rate: 0.02,
             rating: Duration::from_millis(300),
-            known_ratings: 30.0,
-            time_margin: 1.5,
+            min_ratings: 30.0,
+            latency_factor: 1.5,
         }
     }
 }
@@ -104,7 +104,7 @@
         }
         let is_cascade = |estimate: &&&PlanEstimate| matches!(estimate.plan, Plan::Cascade(..));
         let cascades: Vec<_> = feasible.iter().filter(is_cascade).collect();
-        if !cascades.is_empty() && rng.random_bool(self.config.explore) {
+        if !cascades.is_empty() && rng.random_bool(self.config.exploration_rate) {
             let at = rng.random_range(0..cascades.len());
             return Some(cascades[at].plan.clone());
         }
@@ -126,7 +126,7 @@
 
     /// Whether a model has so few ratings that each response should be rated.
     pub fn needs_ratings(&self, model: &ModelName) -> bool {
-        self.stats(model).ratings() < self.config.known_ratings
+        self.stats(model).ratings() < self.config.min_ratings
     }
 
     /// Whether an unrated response of a model meets the target, by its known quality.
@@ -140,7 +140,7 @@
         time_left: Duration,
         has_rater: bool,
     ) -> Vec<PlanEstimate> {
-        let fits_deadline = |time: Duration| time.mul_f64(self.config.time_margin) <= time_left;
+        let fits_deadline = |time: Duration| time.mul_f64(self.config.latency_factor) <= time_left;
         let mut estimates = Vec::new();
         for (place, first) in models.iter().enumerate() {
             let stats = self.stats(&first.model);
--- a/crates/sidecar/src/attempts.rs
+++ b/crates/sidecar/src/attempts.rs
@@ -121,7 +121,7 @@
         return reject(shared, answer, reason, RETRY_AFTER_STATE_CHANGE);
     }
     let now = shared.now();
-    let work = AdmissionRequest {
+    let request = AdmissionRequest {
         id: answer.id,
         key: answer.dispatch.work_key,
         arrived: now,
@@ -129,7 +129,7 @@
         uncached_tokens: answer.uncached_tokens,
         completion_tokens: answer.dispatch.expected_completion_tokens,
     };
-    let offered = shared.admission.lock().offer(now, work);
+    let offered = shared.admission.lock().offer(now, request);
     match offered {
         AdmissionDecision::Start => start(shared, answer),
         AdmissionDecision::Queued => shared.admission_changed.notify_one(),
