--- a/crates/policy/src/cascade/learner.rs
+++ b/crates/policy/src/cascade/learner.rs
@@ -16,22 +16,22 @@
 #[derive(Debug, Clone)]
 pub struct CascadeConfig {
     /// The fraction of requests that take a random cascade, to explore its first model.
-    pub explore: f64,
+    pub exploration_rate: f64,
     /// The expected latency of the rater.
     pub rating: Duration,
     /// The number of ratings from which on the quality of a model counts as known.
-    pub known_ratings: f64,
+    pub min_ratings: f64,
     /// The factor on the expected latency of a plan, which must fit the deadline.
-    pub time_margin: f64,
+    pub latency_factor: f64,
 }
 
 impl Default for CascadeConfig {
     fn default() -> Self {
         Self {
-            explore: 0.02,
+            exploration_rate: 0.02,
             rating: Duration::from_millis(300),
-            known_ratings: 30.0,
-            time_margin: 1.5,
+            min_ratings: 30.0,
+            latency_factor: 1.5,
         }
     }
 }
@@ -104,7 +104,7 @@
         }
         let is_cascade = |estimate: &&&PlanEstimate| matches!(estimate.plan, Plan::Cascade(..));
         let cascades: Vec<_> = feasible.iter().filter(is_cascade).collect();
-        if !cascades.is_empty() && rng.random_bool(self.config.explore) {
+        if !cascades.is_empty() && rng.random_bool(self.config.exploration_rate) {
             let at = rng.random_range(0..cascades.len());
             return Some(cascades[at].plan.clone());
         }
@@ -126,7 +126,7 @@
 
     /// Whether a model has so few ratings that each response should be rated.
     pub fn needs_ratings(&self, model: &ModelName) -> bool {
-        self.stats(model).ratings() < self.config.known_ratings
+        self.stats(model).ratings() < self.config.min_ratings
     }
 
     /// Whether an unrated response of a model meets the target, by its known quality.
@@ -140,7 +140,7 @@
         time_left: Duration,
         has_rater: bool,
     ) -> Vec<PlanEstimate> {
-        let fits_deadline = |time: Duration| time.mul_f64(self.config.time_margin) <= time_left;
+        let fits_deadline = |time: Duration| time.mul_f64(self.config.latency_factor) <= time_left;
         let mut estimates = Vec::new();
         for (place, first) in models.iter().enumerate() {
             let stats = self.stats(&first.model);
@@ -167,18 +167,20 @@
         second: &CascadeModel,
         fits_deadline: impl Fn(Duration) -> bool,
     ) -> PlanEstimate {
-        let (one, two) = (self.stats(&first.model), self.stats(&second.model));
-        let escalation_rate = 1.0 - one.quality();
+        let (first_stats, second_stats) = (self.stats(&first.model), self.stats(&second.model));
+        let escalation_rate = 1.0 - first_stats.quality();
         // The rater decides on the first response, so uncertainty about the first model affects
         // the cost, and uncertainty about the second the quality.
-        let quality = one.quality() + escalation_rate * two.quality_lower_bound();
+        let quality = first_stats.quality() + escalation_rate * second_stats.quality_lower_bound();
         PlanEstimate {
             plan: Plan::Cascade(first.model.clone(), second.model.clone()),
             quality,
-            optimistic_quality: one.quality()
+            optimistic_quality: first_stats.quality()
                 + escalation_rate * self.optimistic_quality(&second.model),
-            cost: one.cost(first.price) + escalation_rate * two.cost(second.price),
-            fits_deadline: fits_deadline(one.latency() + self.config.rating + two.latency()),
+            cost: first_stats.cost(first.price) + escalation_rate * second_stats.cost(second.price),
+            fits_deadline: fits_deadline(
+                first_stats.latency() + self.config.rating + second_stats.latency(),
+            ),
         }
     }
 
