--- a/crates/gateway/src/request/execution/mod.rs
+++ b/crates/gateway/src/request/execution/mod.rs
@@ -67,7 +67,7 @@
 
 impl Execution {
     pub(crate) fn new(state: Arc<GatewayState>, call: Call) -> Self {
-        state.retries.lock().request(&call.service_name);
+        state.retries.lock().record_request(&call.service_name);
         let models = ModelChoice::new(&call.route, &call.head.model);
         let last_event = call.head.last_event;
         let progress = RequestProgress::new(RequestRules {
@@ -226,7 +226,7 @@
     /// The upstream that was meant was not there: another process turned the request away, which
     /// costs the caller no attempt. The platform counts its arrival all the same.
     fn after_misdirected(&mut self, start: UpstreamIncarnation) -> Result<(), GiveUp> {
-        let has_budget = self.state.retries.lock().take(&self.call.service_name);
+        let has_budget = self.state.retries.lock().try_acquire(&self.call.service_name);
         if !has_budget {
             return Err(self.give_up());
         }
@@ -268,7 +268,7 @@
     /// Whether another attempt may be made. Each takes from the budget: the platform counts
     /// a request that an upstream turned away as well.
     fn may_retry(&self) -> bool {
-        let take_budget = || self.state.retries.lock().take(&self.call.service_name);
+        let take_budget = || self.state.retries.lock().try_acquire(&self.call.service_name);
         self.trying.is_none() && self.progress.may_retry(true, take_budget)
     }
 
@@ -283,7 +283,7 @@
         is_possible
             && self.state.step_up.is_poor(priority, stream.reply_head.confidence)
             && (!self.state.settings.decisions.needs_better_in_time || self.is_better_in_time())
-            && self.state.retries.lock().take(&self.call.service_name)
+            && self.state.retries.lock().try_acquire(&self.call.service_name)
     }
 
     /// Whether an answer of the best model is expected in time.
--- a/crates/gateway/src/retry_budgets.rs
+++ b/crates/gateway/src/retry_budgets.rs
@@ -19,12 +19,12 @@
     }
 
     /// Records a request for a service.
-    pub(crate) fn request(&mut self, service: &ServiceName) {
+    pub(crate) fn record_request(&mut self, service: &ServiceName) {
         self.budget(service).request();
     }
 
     /// Whether a retry may be made; if so, it is deducted.
-    pub(crate) fn take(&mut self, service: &ServiceName) -> bool {
+    pub(crate) fn try_acquire(&mut self, service: &ServiceName) -> bool {
         self.budget(service).take()
     }
 
