--- a/tests/all/gateway/daemon.rs
+++ b/tests/all/gateway/daemon.rs
@@ -51,7 +51,7 @@
         running
     }
 
-    async fn ask(&self) -> Option<u16> {
+    async fn send_request(&self) -> Option<u16> {
         let url = format!("http://{}/safe/x", self.process.addr("callers_addr"));
         let request = self.http.request(Method::GET, url).header("Host", "test.example");
         let answer = send(request.header("Request-Id", "id-7").bearer_auth(KEY)).await?;
@@ -59,31 +59,34 @@
     }
 }
 
-case!(it_serves_and_stops_when_asked, async {
+case!(it_serves_and_stops_on_request, async {
     let mut running = Running::start().await;
-    assert_eq!(running.ask().await, Some(200));
+    assert_eq!(running.send_request().await, Some(200));
     running.process.terminate();
-    let mut ended = || running.process.has_ended_well();
-    wait_until("it has ended well", || std::future::ready(ended() == Some(true))).await;
+    let mut exited = || running.process.has_ended_well();
+    wait_until("the process has exited successfully", || {
+        std::future::ready(exited() == Some(true))
+    })
+    .await;
 });
 
-case!(a_hang_up_ends_nothing, async {
+case!(a_hang_up_signal_keeps_it_running, async {
     let running = Running::start().await;
     running.process.hang_up();
-    wait_until("it has read its settings", async || {
+    wait_until("the settings are read", async || {
         let log = running.process.log();
         log.iter().any(|line| line.contains("settings read anew"))
     })
     .await;
-    assert_eq!(running.ask().await, Some(200));
+    assert_eq!(running.send_request().await, Some(200));
 });
 
-case!(the_log_tells_why_a_request_was_rejected, async {
+case!(the_log_holds_the_cause_of_a_rejection, async {
     let running = Running::start().await;
     let url = format!("http://{}/nowhere/x", running.process.addr("callers_addr"));
     let request = running.http.get(url).header("Request-Id", "id-8");
     assert_eq!(send(request).await.expect("an answer").status, 404);
-    wait_until("the log tells it", async || {
+    wait_until("the log holds it", async || {
         let log = running.process.log();
         let is_rejection = |line: &String| line.contains("id-8") && line.contains("no route fits");
         log.iter().any(is_rejection)
@@ -91,12 +94,12 @@
     .await;
 });
 
-// An engineer on call has only the log: the end of each request stands there by its id,
-// and no key does.
-case!(the_log_tells_how_a_request_ended_and_no_key, async {
+// An engineer on call has only the log: it holds the outcome of each request with its id, and no
+// key.
+case!(the_log_holds_the_outcome_of_a_request_and_no_key, async {
     let running = Running::start().await;
-    assert_eq!(running.ask().await, Some(200));
-    wait_until("the log tells it", async || {
+    assert_eq!(running.send_request().await, Some(200));
+    wait_until("the log holds it", async || {
         let log = running.process.log();
         let is_end = |line: &String| line.contains("id-7") && line.contains("request ended");
         log.iter().any(is_end)
--- a/tests/all/gateway/mod.rs
+++ b/tests/all/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! The gateway on the users' platform: its contracts with callers, upstreams and the
-//! store, each against stand-ins that speak the platform's protocol.
+//! The gateway on the users' platform: its contracts with callers, upstreams and the store, each
+//! tested against stand-ins that speak the platform's protocol.
 
 mod attempts;
 mod callers;
--- a/tests/all/gateway/stops.rs
+++ b/tests/all/gateway/stops.rs
@@ -13,8 +13,8 @@
 
 use super::world::ENGINE;
 use super::world::KEY;
-use super::world::PATIENCE;
 use super::world::PLAIN;
+use super::world::WAIT_LIMIT;
 use super::world::World;
 use super::world::events;
 use super::world::readiness;
@@ -33,26 +33,26 @@
     }
 }
 
-/// Asks for readiness as the platform does, until it has learnt that the entry stops.
+/// Queries readiness as the platform does, until it has learnt that the gateway stops.
 async fn fail_readiness_twice(http: &reqwest::Client, ready_addr: &str) {
     for _ in 0..2 {
         assert_eq!(readiness(http, ready_addr).await, 503);
     }
 }
 
-case!(what_is_in_progress_is_finished, async {
+case!(requests_in_progress_are_completed, async {
     let world = World::start(ENGINE, &[slow_stream(20)]).await;
     let request = world.stream("id-1");
-    let asked = tokio::spawn(send(request));
+    let request = tokio::spawn(send(request));
     wait_until("the stream runs", async || world.runs() == 1).await;
     let World { gateway, store, upstreams, .. } = world;
     gateway.leave().wait_for_balancer().await.finish().await;
-    let answer = asked.await.expect("no panic").expect("an answer");
+    let answer = request.await.expect("no panic").expect("an answer");
     assert_eq!((answer.body, answer.is_whole), (events(1, 20), true));
     drop((store, upstreams));
 });
 
-case!(a_leaving_entry_serves_but_says_that_it_is_not_ready, async {
+case!(a_leaving_gateway_serves_but_is_not_ready, async {
     let world = World::start(PLAIN, &[Behaviour::answer("done")]).await;
     let request = world.request(Method::GET, "/safe/x", "id-1");
     let World { gateway, store, upstreams, .. } = world;
@@ -65,8 +65,9 @@
     drop((leaving, store, upstreams));
 });
 
-// Told twice, the platform sends nobody any more: the rest of the lag is not waited for.
-case!(an_idle_entry_ends_as_soon_as_the_platform_has_learnt, async {
+// After two negative responses the platform sends no more callers: the rest of the lag is not
+// waited for.
+case!(an_idle_gateway_ends_once_the_platform_has_reacted, async {
     let world = World::start(PLAIN, &[Behaviour::answer("done")]).await;
     let http = reqwest::Client::builder().no_proxy().build().expect("a client");
     let ready_addr = world.gateway.readiness_addr().to_string();
@@ -77,9 +78,9 @@
     assert!(started.elapsed() < Duration::from_millis(2_000), "{:?}", started.elapsed());
 });
 
-// Seen on the bench: where all entries of a zone stop, the platform goes on sending callers to
-// them, and 681 of 6,200 tries were closed unread (own day rollout-stops, Lakeshore).
-case!(a_new_connection_to_a_draining_entry_is_served, async {
+// Where all gateways of a zone stop, the platform goes on sending callers to them; 681 of 6,200
+// requests were closed unread.
+case!(a_new_connection_to_a_draining_gateway_is_served, async {
     let world = World::start(ENGINE, &[slow_stream(20)]).await;
     let in_progress = tokio::spawn(send(world.stream("id-1")));
     wait_until("the stream runs", async || world.runs() == 1).await;
@@ -98,17 +99,17 @@
     drop((store, upstreams));
 });
 
-case!(a_draining_entry_closes_connections_at_rest, async {
+case!(a_draining_gateway_closes_idle_connections, async {
     let world = World::start(PLAIN, &[Behaviour::answer("done")]).await;
     let callers_addr = world.gateway.callers_addr();
-    let mut kept = TcpStream::connect(callers_addr).await.expect("it connects");
+    let mut idle = TcpStream::connect(callers_addr).await.expect("it connects");
     let head = format!(
         "GET /safe/x HTTP/1.1\r\nHost: test.example\r\nRequest-Id: id-1\r\n\
          Authorization: Bearer {KEY}\r\n\r\n"
     );
-    kept.write_all(head.as_bytes()).await.expect("it is sent");
+    idle.write_all(head.as_bytes()).await.expect("it is sent");
     let mut answer = vec![0; 1_024];
-    let read = kept.read(&mut answer).await.expect("it is answered");
+    let read = idle.read(&mut answer).await.expect("it is answered");
     assert!(answer[..read].starts_with(b"HTTP/1.1 200"));
     let ready_addr = world.gateway.readiness_addr().to_string();
     let http = reqwest::Client::builder().no_proxy().build().expect("a client");
@@ -116,7 +117,7 @@
     let leaving = gateway.leave();
     fail_readiness_twice(&http, &ready_addr).await;
     let draining = leaving.wait_for_balancer().await;
-    let closed = tokio::time::timeout(PATIENCE, read_to_end(kept)).await;
+    let closed = tokio::time::timeout(WAIT_LIMIT, read_to_end(idle)).await;
     assert!(closed.is_ok(), "it stays open");
     drop((draining, store, upstreams));
 });
@@ -127,9 +128,9 @@
     connection.read_to_end(&mut rest).await.expect("it is closed in order");
 }
 
-// Seen on the bench: an entry that did not reach the store was told to stop, and a request that
-// waited there for the configuration was cut by its end (own day start-while-lapsed, LOST).
-case!(an_entry_that_stops_lets_nobody_wait_for_a_configuration, async {
+// A gateway without a connection to the store was stopped, and a request that waited for the
+// configuration was cut off at its end.
+case!(a_stopping_gateway_keeps_no_caller_waiting_for_a_configuration, async {
     let mut world = World::start(PLAIN, &[Behaviour::answer("done")]).await;
     world.store.set_fault(Some(StoreFault::Status(503)));
     world.gateway = start_gateway_with(settings(&world.store)).await;
@@ -141,7 +142,7 @@
     drop((leaving, store, upstreams));
 });
 
-case!(a_caller_of_a_stopping_entry_is_told_when_to_come_back, async {
+case!(a_caller_of_a_stopping_gateway_receives_a_retry_delay, async {
     let mut world = World::start(ENGINE, &[Behaviour::stream(2)]).await;
     let mut settings = settings(&world.store);
     settings.stop.grace = TimeSpan::from_millis(500);
@@ -150,19 +151,19 @@
     let request = world.stream("id-1");
     let World { gateway, store, upstreams, .. } = world;
     let leaving = gateway.leave();
-    let refused = async || {
+    let is_rejected = async || {
         let again = request.try_clone().expect("it can be sent again");
         let answer = send(again).await.expect("an answer");
         (answer.status, answer.header("retry-after")) == (503, "4.00")
     };
-    wait_until("it is refused", refused).await;
+    wait_until("the request is rejected", is_rejected).await;
     drop((leaving, store, upstreams));
 });
 
-// Seen on the bench: of an entry with little processor time some streams were still in progress
-// at its end, and it was killed with them: three servers were stopped one after the other, each with
-// a tenth of a second of its own, which is more than was kept in reserve.
-case!(an_entry_with_work_left_ends_before_it_would_be_killed, async {
+// On a gateway with little processor time some streams were still in progress at its end, and it
+// was killed: three servers were stopped one after the other, each within a tenth of a second,
+// which is more than the reserve before the kill.
+case!(a_gateway_with_work_left_ends_before_the_kill, async {
     const GRACE: Duration = Duration::from_millis(4_000);
     let mut world = World::start(ENGINE, &[slow_stream(600)]).await;
     let mut settings = settings(&world.store);
@@ -172,13 +173,13 @@
     let in_progress = tokio::spawn(send(world.stream("id-1")));
     wait_until("the stream runs", async || world.runs() == 1).await;
     let operators_addr = world.gateway.operators_addr();
-    let kept = TcpStream::connect(operators_addr).await.expect("it connects");
+    let idle = TcpStream::connect(operators_addr).await.expect("it connects");
     let World { gateway, store, upstreams, .. } = world;
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     gateway.leave().wait_for_balancer().await.finish().await;
-    let left = GRACE.saturating_sub(asked.elapsed());
+    let left = GRACE.saturating_sub(requested_at.elapsed());
     assert!(left >= Duration::from_millis(50), "only {left:?} were left");
     let cut = in_progress.await.expect("no panic");
     assert!(cut.is_none_or(|answer| !answer.is_whole));
-    drop((kept, store, upstreams));
+    drop((idle, store, upstreams));
 });
--- a/tests/all/gateway/suspension.rs
+++ b/tests/all/gateway/suspension.rs
@@ -1,6 +1,6 @@
-//! Hosts that are suspended: the steady clock stands still meanwhile, and so do all timers.
+//! Suspended hosts, on which the steady clock and all timers stand still.
 //!
-//! Each test is on a row of the table in `docs/design/suspension.md`.
+//! Each test covers a row of the table in `docs/design/suspension.md`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,11 +29,11 @@
 use crate::case::case;
 use crate::harness::wait_until;
 
-/// Longer than anything may last.
+/// Longer than any timeout.
 const GAP: Duration = Duration::from_secs(30);
 
-/// What must not wait for a timer that stood still is here in less.
-const SOON: Duration = Duration::from_secs(2);
+/// Upper bound for what must not wait for a timer that stood still.
+const MAX_DELAY: Duration = Duration::from_secs(2);
 
 /// A gateway whose host can be suspended, and its link to the store.
 struct Suspended {
@@ -49,21 +49,21 @@
         let host = Suspensions::default();
         let mut settings = settings(&world.store);
         settings.store.addr = link.addr().to_string();
-        // A question waits for news for longer than the test.
+        // A call waits for changes for longer than the test.
         settings.store.follow_wait_ms = 20_000;
         world.gateway = start(settings, host.clone()).await;
         world.wait_until_ready().await;
         Self { world, link, host }
     }
 
-    /// The status that a caller gets.
-    async fn ask(&self) -> u16 {
+    /// Sends a request and returns the status.
+    async fn send_request(&self) -> u16 {
         let request = self.world.request(Method::POST, "/once/x", "id-1").body("x");
         send(request).await.expect("an answer").status
     }
 
-    /// So many questions about what operators write have reached the store.
-    fn questions(&self) -> usize {
+    /// Number of calls on the operators' feed that have reached the store.
+    fn follow_calls(&self) -> usize {
         let calls = self.world.store.calls();
         calls.iter().filter(|call| call.contains("rows-feed?table=op&")).count()
     }
@@ -77,87 +77,88 @@
         .expect("the gateway starts")
 }
 
-// A key was taken away meanwhile, and the store does not answer at once.
-case!(an_old_configuration_and_its_keys_are_not_trusted, async {
+// A key was revoked meanwhile, and the store does not respond at once.
+case!(an_outdated_configuration_is_not_trusted, async {
     let suspended = Suspended::start(Behaviour::answer("done")).await;
-    assert_eq!(suspended.ask().await, 200);
+    assert_eq!(suspended.send_request().await, 200);
     suspended.link.hold(Direction::ToListener);
-    let mut keyless = config(2);
-    keyless["tenants"][0]["api_keys"] = json!(["another-key"]);
-    suspended.world.store.put("op", "config", keyless);
+    let mut without_key = config(2);
+    without_key["tenants"][0]["api_keys"] = json!(["another-key"]);
+    suspended.world.store.put("op", "config", without_key);
     suspended.host.play(GAP);
-    assert_eq!(suspended.ask().await, 503);
+    assert_eq!(suspended.send_request().await, 503);
     suspended.link.heal();
-    wait_until("the key is refused", async || suspended.ask().await == 401).await;
+    wait_until("the key is rejected", async || suspended.send_request().await == 401).await;
 });
 
-// Connections at rest are gone, and do not say so; new ones come up. One in seven times the question about
-// what operators write went out on such a one, and waited there for news for 20 s.
-case!(connections_that_are_gone_do_not_keep_it_from_hearing, async {
+// Idle connections are dead without notice; new ones can be opened. In one of seven runs the call
+// on the operators' feed used a dead connection and waited there for 20 s.
+case!(dead_connections_do_not_delay_updates, async {
     let suspended = Suspended::start(Behaviour::answer("done")).await;
     suspended.link.silence();
-    let mut keyless = config(2);
-    keyless["tenants"][0]["api_keys"] = json!(["another-key"]);
-    suspended.world.store.put("op", "config", keyless);
+    let mut without_key = config(2);
+    without_key["tenants"][0]["api_keys"] = json!(["another-key"]);
+    suspended.world.store.put("op", "config", without_key);
     suspended.host.play(GAP);
     let woken = Instant::now();
-    wait_until("the key is refused", async || {
-        let status = suspended.ask().await;
-        assert_ne!(status, 200, "an old key was believed");
+    wait_until("the key is rejected", async || {
+        let status = suspended.send_request().await;
+        assert_ne!(status, 200, "a revoked key was accepted");
         status == 401
     })
     .await;
-    assert!(woken.elapsed() < 2 * SOON, "{:?}", woken.elapsed());
+    assert!(woken.elapsed() < 2 * MAX_DELAY, "{:?}", woken.elapsed());
 });
 
-// With the store away for longer it serves with what it knows, as it does without a suspension.
-case!(an_entry_that_hears_nothing_serves_again, async {
+// While the store stays unavailable, the gateway serves with its known state, as it does without a
+// suspension.
+case!(a_gateway_without_updates_serves_again, async {
     let suspended = Suspended::start(Behaviour::answer("done")).await;
     suspended.link.hold(Direction::ToListener);
     suspended.host.play(GAP);
-    assert_eq!(suspended.ask().await, 503);
-    wait_until("it serves", async || suspended.ask().await == 200).await;
+    assert_eq!(suspended.send_request().await, 503);
+    wait_until("the gateway serves", async || suspended.send_request().await == 200).await;
 });
 
-// The question that was under way may have been answered long ago, or its connection be gone.
-case!(questions_under_way_are_asked_anew, async {
+// The pending call may have returned long ago, or its connection may be dead.
+case!(pending_calls_are_repeated, async {
     let suspended = Suspended::start(Behaviour::answer("done")).await;
-    wait_until("a question waits", async || suspended.questions() > 0).await;
-    let before = suspended.questions();
+    wait_until("a call is pending", async || suspended.follow_calls() > 0).await;
+    let before = suspended.follow_calls();
     let woken = Instant::now();
     suspended.host.play(GAP);
-    wait_until("it is asked anew", async || suspended.questions() > before).await;
-    assert!(woken.elapsed() < SOON, "{:?}", woken.elapsed());
-    wait_until("it serves", async || suspended.ask().await == 200).await;
+    wait_until("the call is repeated", async || suspended.follow_calls() > before).await;
+    assert!(woken.elapsed() < MAX_DELAY, "{:?}", woken.elapsed());
+    wait_until("the gateway serves", async || suspended.send_request().await == 200).await;
 });
 
-case!(a_request_that_slept_over_its_deadline_ends, async {
+case!(a_request_suspended_past_its_deadline_ends, async {
     let suspended = Suspended::start(Behaviour::Hang).await;
-    let asked = async { (suspended.ask().await, Instant::now()) };
+    let request = async { (suspended.send_request().await, Instant::now()) };
     let suspend = async {
-        wait_until("it runs", async || suspended.world.runs() == 1).await;
+        wait_until("the request runs", async || suspended.world.runs() == 1).await;
         suspended.host.play(GAP);
         Instant::now()
     };
-    let ((status, ended), woken) = futures_util::future::join(asked, suspend).await;
+    let ((status, ended), woken) = futures_util::future::join(request, suspend).await;
     assert_eq!(status, 504);
-    assert!(ended - woken < SOON, "{:?}", ended - woken);
+    assert!(ended - woken < MAX_DELAY, "{:?}", ended - woken);
 });
 
-// The platform kills by the time that has passed.
-case!(a_planned_stop_that_slept_over_its_grace_ends, async {
+// The platform kills by wall-clock time.
+case!(a_planned_stop_suspended_past_its_grace_ends, async {
     let suspended = Suspended::start(Behaviour::Hang).await;
     let request = suspended.world.request(Method::POST, "/once/x", "id-1").body("x");
-    let asked = tokio::spawn(send(request));
-    wait_until("it runs", async || suspended.world.runs() == 1).await;
+    let request = tokio::spawn(send(request));
+    wait_until("the request runs", async || suspended.world.runs() == 1).await;
     let Suspended { world, host, link: _link } = suspended;
     let leaving = world.gateway.leave();
     host.play(GAP);
     let woken = Instant::now();
-    // The platform asks no more.
+    // The platform does not query readiness any more.
     leaving.wait_for_balancer().await.finish().await;
-    assert!(woken.elapsed() < 2 * SOON, "{:?}", woken.elapsed());
-    asked.abort();
+    assert!(woken.elapsed() < 2 * MAX_DELAY, "{:?}", woken.elapsed());
+    request.abort();
 });
 
 fn at_ms(ms: u64) -> MonoTime {
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn an_entry_catches_up_until_it_has_heard_of_both() {
+fn a_resync_lasts_until_both_feeds_are_received() {
     let mut resync = ResyncState::since(at_ms(0));
     assert!(resync.is_pending(at_ms(0)));
     resync.mark_received(Feed::Entries);
@@ -176,21 +177,21 @@
 }
 
 #[test]
-fn it_waits_no_longer_than_it_must() {
+fn a_resync_has_a_time_limit() {
     let resync = ResyncState::since(at_ms(0));
     assert!(resync.is_pending(at_ms(2_999)));
     assert!(!resync.is_pending(at_ms(3_000)));
 }
 
 #[test]
-fn the_clock_goes_on_while_the_host_is_suspended() {
+fn the_clock_advances_while_the_host_is_suspended() {
     let host = Suspensions::default();
     let clock = ProcessClock::start_with(host.clone());
     host.play(GAP);
     let elapsed = clock.now().since(at_ms(0));
-    assert!(elapsed >= GAP && elapsed < GAP + SOON, "{elapsed:?}");
+    assert!(elapsed >= GAP && elapsed < GAP + MAX_DELAY, "{elapsed:?}");
     assert!(clock.suspended() >= GAP);
-    // What is slept for is counted by the steady clock, from now on.
-    let due = clock.now().after(SOON);
-    assert!(clock.instant(due) <= Instant::now() + SOON);
+    // Sleeps are measured by the steady clock, from now on.
+    let due = clock.now().after(MAX_DELAY);
+    assert!(clock.instant(due) <= Instant::now() + MAX_DELAY);
 }
--- a/tests/all/gateway/world.rs
+++ b/tests/all/gateway/world.rs
@@ -23,7 +23,7 @@
 pub(crate) const ENGINE: &str = "engine";
 pub(crate) const PLAIN: &str = "plain";
 pub(crate) const KEY: &str = "key-of-workspace-1";
-pub(super) const PATIENCE: Duration = Duration::from_secs(20);
+pub(super) const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// The routing configuration of most tests.
 pub(crate) fn config(version: u64) -> Value {
@@ -66,8 +66,8 @@
     })
 }
 
-/// Adds so many routes to a configuration, some 0.2 KB each, with names that share nothing, as
-/// those of operators do.
+/// Adds `count` routes of some 0.2 KB each to a configuration, with unrelated names, like those of
+/// operators.
 pub(crate) fn add_routes(config: &mut Value, count: u64) {
     let routes = config["routes"].as_array_mut().expect("a list of routes");
     for n in 0..count {
@@ -79,13 +79,13 @@
     }
 }
 
-/// What a caller got.
+/// The response that a caller received.
 #[derive(Debug, Clone)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) headers: HeaderMap,
     pub(crate) body: String,
-    /// Whether the body came to its end.
+    /// Whether the body is complete.
     pub(crate) is_whole: bool,
 }
 
@@ -105,7 +105,7 @@
 }
 
 impl World {
-    /// One upstream for each behaviour, all of one service, and a gateway that knows them.
+    /// Starts one upstream per behaviour, all of one service, and a gateway that knows them.
     pub(super) async fn start(service: &str, behaviours: &[Behaviour]) -> Self {
         let store = StoreStandin::start().await.expect("the store starts");
         store.put("op", "config", config(1));
@@ -118,7 +118,7 @@
             upstreams.push(upstream);
         }
         let gateway = start_gateway(&store).await;
-        let http = reqwest::Client::builder().no_proxy().timeout(PATIENCE).build();
+        let http = reqwest::Client::builder().no_proxy().timeout(WAIT_LIMIT).build();
         let world = Self { store, upstreams, gateway, http: http.expect("a client can be made") };
         world.wait_until_ready().await;
         world
@@ -128,12 +128,12 @@
         wait_until("the gateway is ready", async || self.readiness().await == 200).await;
     }
 
-    /// The status that the platform gets when it asks for readiness.
+    /// The status of the readiness endpoint.
     pub(super) async fn readiness(&self) -> u16 {
         readiness(&self.http, &self.gateway.readiness_addr().to_string()).await
     }
 
-    /// A request that can still be given headers, of a caller that waits 4 s.
+    /// A request of a caller that waits 4 s; headers can still be added.
     pub(super) fn request(&self, method: Method, path: &str, id: &str) -> RequestBuilder {
         self.request_within(method, path, id, 4_000)
     }
@@ -159,7 +159,7 @@
         self.stream_within(id, 4_000)
     }
 
-    /// The same, of a caller that waits so long.
+    /// The same with a deadline.
     pub(super) fn stream_within(&self, id: &str, deadline_ms: u64) -> RequestBuilder {
         self.request_within(Method::POST, "/stream/x", id, deadline_ms)
             .header("Model", "*")
@@ -168,7 +168,7 @@
             .body("a prompt")
     }
 
-    /// How many requests the upstreams ran.
+    /// Number of requests that the upstreams ran.
     pub(super) fn runs(&self) -> usize {
         self.upstreams.iter().map(UpstreamStandin::runs).sum()
     }
@@ -212,22 +212,21 @@
 }
 
 pub(crate) async fn readiness(http: &reqwest::Client, addr: &str) -> u16 {
-    let asked = http.get(format!("http://{addr}/ready")).send().await;
-    asked.map_or(0, |response| response.status().as_u16())
+    let response = http.get(format!("http://{addr}/ready")).send().await;
+    response.map_or(0, |response| response.status().as_u16())
 }
 
-/// Sends a request and reads what comes, also when it breaks off. None when there is no
-/// answer at all.
+/// Sends a request and reads the response, even if it is cut off. `None` without any response.
 pub(crate) async fn send(request: RequestBuilder) -> Option<Answer> {
     let response = request.send().await.ok()?;
     let status = response.status().as_u16();
     let headers = response.headers().clone();
     let mut body = String::new();
     let mut is_whole = true;
-    let mut parts = response.bytes_stream();
-    while let Some(part) = parts.next().await {
-        match part {
-            Ok(part) => body.push_str(&String::from_utf8_lossy(&part)),
+    let mut chunks = response.bytes_stream();
+    while let Some(chunk) = chunks.next().await {
+        match chunk {
+            Ok(chunk) => body.push_str(&String::from_utf8_lossy(&chunk)),
             Err(_) => {
                 // Dropping the rest closes the connection, as a caller that leaves does.
                 is_whole = false;
