--- a/crates/gateway/src/peers/feed_cache.rs
+++ b/crates/gateway/src/peers/feed_cache.rs
@@ -87,7 +87,7 @@
     by_feed: HashMap<Feed, CachedFeed>,
     /// Feeds whose next change a follow call is waiting for at the store.
     following: HashSet<Feed>,
-    asked_at: Option<MonoTime>,
+    polled_at: Option<MonoTime>,
 }
 
 impl FeedCacheState {
@@ -103,7 +103,7 @@
         let from_store = |feed| self.by_feed.get(&feed).filter(|c| c.origin == Origin::Store);
         let read_at = from_store(feed)?.read_at;
         let shown_at = from_store(LIVENESS_FEED).filter(|_| self.following.contains(&feed));
-        let shown_at = shown_at.map_or(read_at, |proof| proof.read_at.max(read_at));
+        let shown_at = shown_at.map_or(read_at, |liveness| liveness.read_at.max(read_at));
         Some(shown_at.after(fresh_for))
     }
 
@@ -112,7 +112,7 @@
     }
 
     fn is_polled(&self, now: MonoTime) -> bool {
-        self.asked_at.is_some_and(|at| now.since(at) < POLLED_FOR)
+        self.polled_at.is_some_and(|at| now.since(at) < POLLED_FOR)
     }
 }
 
@@ -122,7 +122,7 @@
     copies: Mutex<FeedCacheState>,
     /// All rows of a feed at a version, packed, since all gateways that start together request the
     /// same.
-    packed_wholes: Mutex<HashMap<Feed, (StoreVersion, Bytes)>>,
+    packed_feeds: Mutex<HashMap<Feed, (StoreVersion, Bytes)>>,
     changed: Notify,
 }
 
@@ -200,7 +200,7 @@
 
     /// Records a poll by a peer.
     pub fn record_poll(&self, now: MonoTime) {
-        self.copies.lock().asked_at = Some(now);
+        self.copies.lock().polled_at = Some(now);
     }
 
     /// Whether a peer has polled recently, so that the copies must be kept fresh.
@@ -280,18 +280,18 @@
     ///
     /// # Errors
     /// Fails when packing fails.
-    pub(super) fn packed_whole(
+    pub(super) fn packed_feed(
         &self,
         feed: Feed,
         version: StoreVersion,
         pack: impl FnOnce() -> io::Result<Bytes>,
     ) -> io::Result<Bytes> {
-        let mut wholes = self.packed_wholes.lock();
-        if let Some((_, packed)) = wholes.get(&feed).filter(|(known, _)| *known == version) {
+        let mut packed_feeds = self.packed_feeds.lock();
+        if let Some((_, packed)) = packed_feeds.get(&feed).filter(|(known, _)| *known == version) {
             return Ok(packed.clone());
         }
         let packed = pack()?;
-        wholes.insert(feed, (version, packed.clone()));
+        packed_feeds.insert(feed, (version, packed.clone()));
         Ok(packed)
     }
 
--- a/crates/gateway/src/peers/health.rs
+++ b/crates/gateway/src/peers/health.rs
@@ -20,12 +20,12 @@
 pub(super) fn local_health(state: &GatewayState) -> Vec<HealthMessage> {
     let health = state.upstreams.standings(state.now());
     let to_message = |(key, update): (UpstreamKey, HealthUpdate)| {
-        let (is_over, left) = match update {
+        let (is_terminated, left) = match update {
             HealthUpdate::Over(left) => (true, left),
             HealthUpdate::Refusing(left) => (false, left),
         };
         let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
-        HealthMessage { upstream: key.0, left_ms, is_over }
+        HealthMessage { upstream: key.0, left_ms, is_terminated }
     };
     health.into_iter().take(MAX_ITEMS).map(to_message).collect()
 }
@@ -34,8 +34,11 @@
 pub(super) fn apply_health(state: &GatewayState, messages: &[HealthMessage]) {
     let to_update = |message: &HealthMessage| {
         let left = Duration::from_millis(u64::from(message.left_ms));
-        let update =
-            if message.is_over { HealthUpdate::Over(left) } else { HealthUpdate::Refusing(left) };
+        let update = if message.is_terminated {
+            HealthUpdate::Over(left)
+        } else {
+            HealthUpdate::Refusing(left)
+        };
         (UpstreamKey(message.upstream), update)
     };
     let updates: HashMap<_, _> = messages.iter().take(MAX_ITEMS).map(to_update).collect();
--- a/crates/gateway/src/peers/messages.rs
+++ b/crates/gateway/src/peers/messages.rs
@@ -111,7 +111,7 @@
     pub(super) left_ms: u32,
     /// Whether the incarnation has terminated; else it rejects requests.
     #[prost(bool, tag = "3")]
-    pub(super) is_over: bool,
+    pub(super) is_terminated: bool,
 }
 
 /// A row that the sender of a request holds.
--- a/crates/gateway/src/peers/response.rs
+++ b/crates/gateway/src/peers/response.rs
@@ -158,7 +158,7 @@
         let version = StoreVersion { era, number: self.version };
         let pack_rows = || pack(&rows.encode_to_vec(), None);
         let packed =
-            if is_whole { feed_cache.packed_whole(feed, version, pack_rows) } else { pack_rows() };
+            if is_whole { feed_cache.packed_feed(feed, version, pack_rows) } else { pack_rows() };
         match packed {
             Ok(packed) => self.packed_rows = Some(packed),
             Err(error) => {
--- a/crates/gateway/src/peers/server.rs
+++ b/crates/gateway/src/peers/server.rs
@@ -113,12 +113,12 @@
             return Ok(());
         };
         let request = PeerRequest::decode(frame?)?;
-        let response = response(&state, request).await;
+        let response = handle_request(&state, request).await;
         send(&mut messages, &response).await?;
     }
 }
 
-async fn response(state: &GatewayState, request: PeerRequest) -> PeerResponse {
+async fn handle_request(state: &GatewayState, request: PeerRequest) -> PeerResponse {
     for evidence in &request.evidence {
         apply_evidence(state, &request.host, evidence);
     }
--- a/crates/gateway/src/sessions.rs
+++ b/crates/gateway/src/sessions.rs
@@ -127,8 +127,8 @@
                 && (pin.is_local || scope == SessionScope::All)
                 && now.since(pin.last_used) < self.lifetime
         };
-        let pin = self.by_session.iter().filter(|(key, pin)| is_pinned_away(key, pin));
-        let mut pin: Vec<_> = pin
+        let pins = self.by_session.iter().filter(|(key, pin)| is_pinned_away(key, pin));
+        let mut pins: Vec<_> = pins
             .map(|((service, key), pin)| PinnedSession {
                 key: *key,
                 service: service.clone(),
@@ -136,9 +136,9 @@
                 idle: now.since(pin.last_used),
             })
             .collect();
-        pin.sort_by_key(|pin| (pin.idle, pin.key.0));
-        pin.truncate(MAX_SHARED);
-        pin
+        pins.sort_by_key(|pin| (pin.idle, pin.key.0));
+        pins.truncate(MAX_SHARED);
+        pins
     }
 
     /// Number of sessions that only other gateways have served.
