--- a/crates/gateway/src/request/execution/mod.rs
+++ b/crates/gateway/src/request/execution/mod.rs
@@ -72,7 +72,7 @@
 
 impl Execution {
     pub(crate) fn new(state: Arc<GatewayState>, call: Call) -> Self {
-        state.retries.lock().request(&call.service_name);
+        state.retries.lock().record_request(&call.service_name);
         let models = ModelChoice::new(&call.route, &call.head.model);
         let last_event = call.head.last_event;
         let progress = RequestProgress::new(RequestRules {
@@ -238,7 +238,7 @@
     /// Another process at the upstream's address rejected the request. This does not count as an attempt, but it
     /// takes from the retry budget, as the platform counts the arrival.
     fn after_misdirected(&mut self, incarnation: UpstreamIncarnation) -> Result<(), AbandonReason> {
-        let has_budget = self.state.retries.lock().take(&self.call.service_name);
+        let has_budget = self.state.retries.lock().try_acquire(&self.call.service_name);
         if !has_budget {
             return Err(self.abandon_reason());
         }
@@ -280,7 +280,7 @@
     /// Whether another attempt is allowed. Each takes from the retry budget: the platform counts rejected
     /// requests as well.
     fn may_retry(&self) -> bool {
-        let take_budget = || self.state.retries.lock().take(&self.call.service_name);
+        let take_budget = || self.state.retries.lock().try_acquire(&self.call.service_name);
         self.trial.is_none() && self.progress.may_retry(true, take_budget)
     }
 
@@ -295,7 +295,7 @@
         is_possible
             && self.state.step_up.is_poor(priority, stream.reply_head.confidence)
             && (!self.state.settings.decisions.needs_better_in_time || self.is_better_in_time())
-            && self.state.retries.lock().take(&self.call.service_name)
+            && self.state.retries.lock().try_acquire(&self.call.service_name)
     }
 
     /// Whether a response of the best model is expected in time.
