--- a/crates/gateway/src/members/incarnation_history.rs
+++ b/crates/gateway/src/members/incarnation_history.rs
@@ -1,4 +1,4 @@
-//! Which starts of upstreams there have been, and which one has which address.
+//! The history of incarnations of upstreams, and the address of each.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -13,32 +13,31 @@
 use super::Member;
 use super::MemberState;
 
-/// How long a start is remembered after it was known last. A report of it may be held up while
-/// its host is cut off; those that were seen came within 10 s.
-const REMEMBERED_FOR: Duration = Duration::from_secs(60);
+/// How long an incarnation is kept after it was last known. A report of it may be delayed while its host is
+/// cut off from the network; the delays seen were up to 10 s.
+const HISTORY_TTL: Duration = Duration::from_secs(60);
 
-/// A start of an upstream, and how it came to be known.
+/// An incarnation, and how it became known.
 #[derive(Debug, Clone)]
-struct Seen {
+struct SeenIncarnation {
     start: UpstreamIncarnation,
     addr: SocketAddr,
-    /// The batch of news in which it was listed first at its address.
+    /// The batch of changes in which it was first listed at its address.
     batch: u64,
-    /// Since when it is no longer known.
-    left: Option<MonoTime>,
-    /// Whether its row has said that it leaves.
+    /// When it was removed from the directory.
+    removed: Option<MonoTime>,
+    /// Whether its row has announced its end.
     has_announced: bool,
 }
 
-impl Seen {
+impl SeenIncarnation {
     fn superseded(&self) -> Superseded {
         Superseded { start: self.start.clone(), is_planned: self.has_announced }
     }
 
-    /// Which one started later, as far as it can be said: by what they say if both do, else by
-    /// which was listed first later. One that is listed again, since a report of it was held up,
-    /// keeps its place.
-    fn by_time(&self, other: &Self) -> Ordering {
+    /// Orders two incarnations by start: by the reported times if both have one, otherwise by the batches in
+    /// which they were first listed. One that is listed again by a delayed report keeps its batch.
+    fn cmp_start(&self, other: &Self) -> Ordering {
         match (self.start.started, other.start.started) {
             (Some(own), Some(other)) => own.cmp(&other),
             _ => self.batch.cmp(&other.batch),
@@ -46,55 +45,55 @@
     }
 }
 
-/// A start of an upstream in whose place a later one is listed.
+/// An incarnation that a later one has replaced, at its address or of the same upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Superseded {
-    /// The start.
+    /// The replaced incarnation.
     pub start: UpstreamIncarnation,
-    /// Whether it had said that it leaves.
+    /// Whether it had announced its end.
     pub is_planned: bool,
 }
 
-/// Which starts of upstreams there have been, and which one has which address.
+/// The history of incarnations of upstreams, and the address of each.
 ///
-/// An address is that of one process. Where two starts are listed at one, the earlier is over:
-/// the later one would answer each request that is sent to it, and run none.
+/// An address belongs to one process. Where two incarnations are listed at one address, the earlier has
+/// terminated: requests sent to it would reach the later one, which answers them without running any.
 #[derive(Debug, Default)]
 pub(super) struct IncarnationHistory {
-    /// The latest start of each upstream.
-    latest: HashMap<InstanceId, Seen>,
-    /// Who has an address.
-    holders: HashMap<SocketAddr, InstanceId>,
-    /// Those that are no longer known, in the order in which they left.
-    left: VecDeque<(MonoTime, InstanceId)>,
+    /// The latest incarnation of each upstream.
+    latest: HashMap<InstanceId, SeenIncarnation>,
+    /// The upstream at each address.
+    by_address: HashMap<SocketAddr, InstanceId>,
+    /// Upstreams removed from the directory, in the order of removal.
+    removed: VecDeque<(MonoTime, InstanceId)>,
     batch: u64,
 }
 
 impl IncarnationHistory {
-    /// What is listed from now on came later than what was listed before.
+    /// Begins a batch: what is listed from now on is later than what was listed before.
     pub(super) fn next_batch(&mut self) {
         self.batch += 1;
     }
 
-    /// Whether the row of a start has said that it leaves.
+    /// Whether the row of an incarnation has announced its end.
     pub(super) fn has_announced(&self, start: &UpstreamIncarnation) -> bool {
         let seen = self.latest.get(&start.instance).filter(|seen| seen.start == *start);
         seen.is_some_and(|seen| seen.has_announced)
     }
 
-    /// The latest start of an upstream that was listed.
+    /// The latest incarnation of an upstream that was listed.
     pub(super) fn latest(&self, instance: &InstanceId) -> Option<&UpstreamIncarnation> {
         self.latest.get(instance).map(|seen| &seen.start)
     }
 
-    /// A start is listed. Gives those that are over by that: it itself, if a later one is known
-    /// at its address, or the one that had the address before, and an earlier start of the same upstream.
-    pub(super) fn listed(&mut self, member: &Member) -> Vec<Superseded> {
-        let seen = self.seen(member);
+    /// Records a listed incarnation. Returns the superseded ones: itself if a later one is known at its
+    /// address, or else the previous one at the address; and an earlier incarnation of the same upstream.
+    pub(super) fn record_listed(&mut self, member: &Member) -> Vec<Superseded> {
+        let seen = self.record_of(member);
         let instance = member.start.instance.clone();
         let holder = self.holder(member.addr).filter(|holder| holder.start.instance != instance);
-        let order = holder.map(|holder| seen.by_time(holder));
-        let by_address = match (order, holder) {
+        let order = holder.map(|holder| seen.cmp_start(holder));
+        let earlier_at_address = match (order, holder) {
             (Some(Ordering::Less), _) => Some(&seen),
             (Some(Ordering::Greater), Some(holder)) => Some(holder),
             _ => None,
@@ -102,51 +101,56 @@
         let earlier = self.latest.get(&instance).filter(|earlier| {
             seen.start.is_later_than(&earlier.start) && earlier.start.started.is_some()
         });
-        let over: Vec<_> = by_address.into_iter().chain(earlier).map(Seen::superseded).collect();
+        let superseded: Vec<_> = earlier_at_address
+            .into_iter()
+            .chain(earlier)
+            .map(SeenIncarnation::superseded)
+            .collect();
         self.latest.insert(instance.clone(), seen);
         if order != Some(Ordering::Less) {
-            self.holders.insert(member.addr, instance);
+            self.by_address.insert(member.addr, instance);
         }
-        over
+        superseded
     }
 
-    fn holder(&self, addr: SocketAddr) -> Option<&Seen> {
-        let holder = self.latest.get(self.holders.get(&addr)?)?;
+    fn holder(&self, addr: SocketAddr) -> Option<&SeenIncarnation> {
+        let holder = self.latest.get(self.by_address.get(&addr)?)?;
         (holder.addr == addr).then_some(holder)
     }
 
-    /// What is remembered of a start; it is new if it was never listed at this address.
-    fn seen(&self, member: &Member) -> Seen {
+    /// The record of an incarnation; a new one if it was never listed at this address.
+    fn record_of(&self, member: &Member) -> SeenIncarnation {
         let Member { start, addr, .. } = member;
         let known = self.latest.get(&start.instance);
         let known = known.filter(|seen| seen.start == *start && seen.addr == *addr);
         let batch = known.map_or(self.batch, |seen| seen.batch);
         let has_announced =
             member.state == MemberState::Draining || known.is_some_and(|seen| seen.has_announced);
-        Seen { start: start.clone(), addr: *addr, batch, left: None, has_announced }
+        SeenIncarnation { start: start.clone(), addr: *addr, batch, removed: None, has_announced }
     }
 
-    /// An upstream is no longer known.
-    pub(super) fn left(&mut self, now: MonoTime, instance: &InstanceId) {
+    /// Notes that an upstream was removed from the directory.
+    pub(super) fn record_removed(&mut self, now: MonoTime, instance: &InstanceId) {
         if let Some(seen) = self.latest.get_mut(instance) {
-            seen.left = Some(now);
-            self.left.push_back((now, instance.clone()));
+            seen.removed = Some(now);
+            self.removed.push_back((now, instance.clone()));
         }
     }
 
-    /// Forgets starts that have not been known for long.
+    /// Drops incarnations that were removed long ago.
     pub(super) fn expire(&mut self, now: MonoTime) {
-        while let Some((left, instance)) =
-            self.left.pop_front_if(|(left, _)| now.since(*left) >= REMEMBERED_FOR)
+        while let Some((removed, instance)) =
+            self.removed.pop_front_if(|(removed, _)| now.since(*removed) >= HISTORY_TTL)
         {
-            let is_back = self.latest.get(&instance).is_none_or(|seen| seen.left != Some(left));
+            let is_back =
+                self.latest.get(&instance).is_none_or(|seen| seen.removed != Some(removed));
             if is_back {
                 continue;
             }
             if let Some(seen) = self.latest.remove(&instance)
-                && self.holders.get(&seen.addr) == Some(&instance)
+                && self.by_address.get(&seen.addr) == Some(&instance)
             {
-                self.holders.remove(&seen.addr);
+                self.by_address.remove(&seen.addr);
             }
         }
     }
--- a/crates/gateway/src/members/member.rs
+++ b/crates/gateway/src/members/member.rs
@@ -1,4 +1,4 @@
-//! One upstream, as it registered itself.
+//! A row of the list of upstreams.
 
 use std::net::SocketAddr;
 
@@ -8,32 +8,32 @@
 use stallhoist_core::ZoneName;
 use stallhoist_policy::cold::ReportedCold;
 
-/// What an upstream says of itself.
+/// The state that an upstream reports in its row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// It takes work.
+    /// It accepts requests.
     Ready,
-    /// It is about to end: no new work for it.
+    /// It is about to terminate and must get no new requests.
     Draining,
 }
 
-/// One upstream, as it registered itself.
+/// An upstream, as it registered itself in the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// This start of it.
+    /// Its incarnation.
     pub start: UpstreamIncarnation,
     /// The service it belongs to.
     pub service: ServiceName,
-    /// Where it is called.
+    /// The address at which it accepts requests.
     pub addr: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
     /// The version of its software.
     pub version: VersionName,
-    /// Requests it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// What it says of itself.
+    /// The state that it reports.
     pub state: MemberState,
-    /// What it says of how much longer it is cold.
+    /// The remaining warm-up time that it reports.
     pub cold: ReportedCold,
 }
--- a/crates/gateway/src/members/mod.rs
+++ b/crates/gateway/src/members/mod.rs
@@ -1,4 +1,4 @@
-//! The upstreams that are known, and how they come and go.
+//! The known upstreams: rows of the list, the directory built from them, and the history of incarnations.
 
 mod directory;
 mod incarnation_history;
--- a/tests/all/decisions/directory.rs
+++ b/tests/all/decisions/directory.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams.
+//! The directory of known upstreams.
 
 use std::net::SocketAddr;
 
@@ -14,18 +14,18 @@
 
 fn member(name: &str, state: MemberState) -> Member {
     Member {
-        start: name.parse().expect("a start"),
-        service: "s".parse().expect("a name"),
+        start: name.parse().expect("a valid incarnation"),
+        service: "s".parse().expect("a valid name"),
         addr: addr_of(name),
-        zone: "z".parse().expect("a name"),
-        version: "v1".parse().expect("a name"),
+        zone: "z".parse().expect("a valid name"),
+        version: "v1".parse().expect("a valid name"),
         slots: 4,
         state,
         cold: ReportedCold::Unsaid,
     }
 }
 
-/// An address for each upstream, the same for all starts of it.
+/// An address for each upstream, the same for all its incarnations.
 fn addr_of(name: &str) -> SocketAddr {
     let instance = name.split('@').next().unwrap_or_default();
     let port = instance.bytes().map(u16::from).sum();
@@ -36,9 +36,9 @@
     member(name, MemberState::Ready)
 }
 
-/// The names of those in use at a moment; with those that are leaving.
+/// The incarnations that are usable at a moment, optionally with those that are leaving.
 fn names(directory: &Directory, ms: u64, with_leaving: bool) -> Vec<String> {
-    let service: ServiceName = "s".parse().expect("a name");
+    let service: ServiceName = "s".parse().expect("a valid name");
     let members = directory.of_service(at_ms(ms), &service, with_leaving);
     members.map(|member| member.start.to_string()).collect()
 }
@@ -54,69 +54,68 @@
     assert_eq!(names(&directory, 1_400, true), ["b"]);
 }
 
-// A second word of the same kind must not lengthen the time: the platform counts from the
-// first.
+// A repeated announcement must not extend the grace period: the platform counts from the first.
 #[test]
-fn leaving_counts_from_the_first_sign() {
+fn the_grace_period_begins_with_the_first_announcement() {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), ready("a"));
     directory.listed(at_ms(100), member("a", MemberState::Draining));
     directory.listed(at_ms(900), member("a", MemberState::Draining));
-    directory.gone(at_ms(1_200), &"a".parse().expect("a name"));
+    directory.gone(at_ms(1_200), &"a".parse().expect("a valid name"));
     assert_eq!(names(&directory, 1_399, true), ["a"]);
     assert_eq!(names(&directory, 1_400, true), Vec::<String>::new());
 }
 
 #[test]
-fn a_lapsed_entry_that_is_back_counts_as_before() {
+fn an_upstream_whose_row_reappears_is_listed_again() {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), ready("a"));
-    directory.gone(at_ms(100), &"a".parse().expect("a name"));
+    directory.gone(at_ms(100), &"a".parse().expect("a valid name"));
     directory.listed(at_ms(500), ready("a"));
     assert!(!directory.expire(at_ms(5_000)));
     assert_eq!(names(&directory, 5_000, false), ["a"]);
 }
 
 #[test]
-fn a_whole_list_drops_who_is_missing() {
+fn a_complete_list_drops_upstreams_not_in_it() {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), ready("a"));
     directory.listed(at_ms(0), ready("b"));
     directory.replace(at_ms(100), vec![ready("b"), ready("c")]);
     assert_eq!(names(&directory, 100, false), ["b", "c"]);
     assert!(directory.expire(at_ms(1_400)));
-    assert!(!directory.is_known(&"a".parse().expect("a name")));
+    assert!(!directory.is_known(&"a".parse().expect("a valid name")));
 }
 
 #[test]
-fn nobody_unknown_can_go() {
+fn removal_of_an_unknown_row_has_no_effect() {
     let mut directory = Directory::default();
-    directory.gone(at_ms(0), &"a".parse().expect("a name"));
+    directory.gone(at_ms(0), &"a".parse().expect("a valid name"));
     assert_eq!(directory.iter().count(), 0);
 }
 
-// An upstream may start again under its id.
+// An upstream may restart under the same id.
 #[test]
-fn a_later_start_takes_the_place_of_the_earlier_one() {
+fn a_later_incarnation_replaces_the_earlier_one() {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), ready("a@1000"));
     directory.listed(at_ms(100), ready("a@2000"));
     assert_eq!(names(&directory, 100, true), ["a@2000"]);
-    assert!(!directory.is_known(&start("a@1000")), "nothing believed of it holds");
+    assert!(!directory.is_known(&start("a@1000")), "the earlier one is unknown");
 }
 
 #[test]
-fn a_leaving_start_says_nothing_of_a_later_one() {
+fn a_draining_incarnation_does_not_affect_a_later_one() {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), member("a@1000", MemberState::Draining));
     directory.listed(at_ms(100), ready("a@2000"));
     directory.listed(at_ms(200), member("a@2000", MemberState::Draining));
-    assert_eq!(names(&directory, 1_499, true), ["a@2000"], "1.3 s from its own first sign on");
+    assert_eq!(names(&directory, 1_499, true), ["a@2000"], "1.3 s from its own announcement");
 }
 
-// A report that was held up, a copy of another entry's, a difference to an old list.
+// The cause may be a delayed report, a copy from another gateway, or a change relative to an old list.
 #[test]
-fn an_earlier_start_that_comes_late_changes_nothing() {
+fn a_late_row_of_an_earlier_incarnation_changes_nothing() {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), ready("a@1000"));
     directory.listed(at_ms(100), ready("a@2000"));
@@ -128,22 +127,22 @@
 }
 
 #[test]
-fn an_earlier_start_does_not_come_back_when_the_later_has_gone() {
+fn an_earlier_incarnation_does_not_come_back_when_the_later_is_gone() {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), ready("a@1000"));
     directory.listed(at_ms(100), ready("a@2000"));
-    directory.gone(at_ms(200), &"a".parse().expect("a name"));
+    directory.gone(at_ms(200), &"a".parse().expect("a valid name"));
     directory.expire(at_ms(1_500));
     directory.listed(at_ms(1_600), ready("a@1000"));
     assert_eq!(names(&directory, 1_600, true), Vec::<String>::new());
-    directory.gone(at_ms(5_000), &"a".parse().expect("a name"));
+    directory.gone(at_ms(5_000), &"a".parse().expect("a valid name"));
     directory.expire(at_ms(9_000));
-    assert_eq!(names(&directory, 9_000, true), Vec::<String>::new(), "its entry has lapsed");
+    assert_eq!(names(&directory, 9_000, true), Vec::<String>::new(), "its row has lapsed");
 }
 
-// The clock of an upstream's host was set back before it started again: its entry stays.
+// The clock of an upstream's host was set back before the upstream restarted, so its row persists.
 #[test]
-fn an_earlier_start_that_stays_is_believed_after_a_while() {
+fn a_persistent_row_of_an_earlier_incarnation_is_accepted_later() {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), ready("a@2000"));
     directory.listed(at_ms(1_000), ready("a@1000"));
@@ -155,7 +154,7 @@
 }
 
 #[test]
-fn an_entry_that_no_longer_says_when_it_started_is_another_writers() {
+fn a_row_that_lost_its_start_time_is_from_another_writer() {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), ready("a@1000"));
     directory.listed(at_ms(0), ready("b@1000"));
@@ -164,38 +163,38 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_names_no_upstream() {
+fn an_unreadable_row_removes_its_upstream() {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), ready("a"));
     directory.listed(at_ms(0), ready("b"));
-    directory.unreadable(at_ms(100), &"a".parse().expect("a name"));
+    directory.unreadable(at_ms(100), &"a".parse().expect("a valid name"));
     assert_eq!(names(&directory, 100, true), ["b"]);
     directory.listed(at_ms(200), ready("a"));
-    assert_eq!(names(&directory, 200, true), ["a", "b"], "it can be read again");
+    assert_eq!(names(&directory, 200, true), ["a", "b"], "its row is readable again");
 }
 
-/// One that had not said that it leaves.
+/// A superseded incarnation that had not announced its end.
 fn unplanned(name: &str) -> Superseded {
     Superseded { start: start(name), is_planned: false }
 }
 
 fn start(name: &str) -> UpstreamIncarnation {
-    name.parse().expect("a start")
+    name.parse().expect("a valid incarnation")
 }
 
-/// An upstream at the address of another one.
+/// An upstream at the address of another.
 fn in_place_of(other: &str, name: &str) -> Member {
     Member { addr: addr_of(other), ..ready(name) }
 }
 
-// Upstreams behind a cut ended and started again under new ids. Seconds after the cut their
-// former entries were listed once more, from reports that had been held up, and drew a third of
-// the requests: with nothing in progress they looked like the best choice.
+// Guards against delayed reports after a network partition: upstreams that restarted under new ids during
+// the partition were listed once more under their former ids, and got a third of the requests, as they had
+// nothing in progress.
 #[test]
-fn of_two_at_one_address_the_one_that_was_listed_first_is_over() {
+fn of_two_at_one_address_the_one_listed_first_is_superseded() {
     let mut directory = Directory::default();
     assert_eq!(directory.listed(at_ms(0), ready("a")), []);
-    directory.gone(at_ms(100), &"a".parse().expect("a name"));
+    directory.gone(at_ms(100), &"a".parse().expect("a valid name"));
     directory.expire(at_ms(2_000));
     assert_eq!(directory.listed(at_ms(2_000), in_place_of("a", "b")), [unplanned("a")]);
     assert_eq!(directory.listed(at_ms(4_000), ready("a")), [unplanned("a")], "not the later one");
@@ -203,7 +202,7 @@
 }
 
 #[test]
-fn a_later_one_at_an_address_ends_the_one_that_had_it() {
+fn a_later_upstream_at_an_address_supersedes_the_previous_one() {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), ready("a"));
     assert_eq!(directory.listed(at_ms(100), in_place_of("a", "b")), [unplanned("a")]);
@@ -211,14 +210,14 @@
 }
 
 #[test]
-fn what_they_say_of_their_starts_goes_before_the_order_in_which_they_came() {
+fn reported_start_times_override_the_order_of_listing() {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), in_place_of("a", "b@2000"));
     assert_eq!(directory.listed(at_ms(100), ready("a@1000")), [unplanned("a@1000")]);
 }
 
 #[test]
-fn which_one_of_a_whole_list_came_first_is_not_known() {
+fn rows_of_a_complete_list_have_no_order() {
     let mut directory = Directory::default();
     assert_eq!(directory.replace(at_ms(0), vec![ready("a"), in_place_of("a", "b")]), []);
     let with_times = vec![ready("c@2000"), in_place_of("c", "d@1000")];
@@ -226,20 +225,20 @@
 }
 
 #[test]
-fn an_upstream_that_was_forgotten_long_ago_counts_as_new() {
+fn an_upstream_dropped_from_the_history_counts_as_new() {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), ready("a"));
     directory.listed(at_ms(100), in_place_of("a", "b"));
     for name in ["a", "b"] {
-        directory.gone(at_ms(200), &name.parse().expect("a name"));
+        directory.gone(at_ms(200), &name.parse().expect("a valid name"));
     }
     directory.expire(at_ms(2_000));
     directory.expire(at_ms(70_000));
     assert_eq!(directory.listed(at_ms(70_000), ready("a")), []);
 }
 
-/// An upstream that has said in an answer at 100 ms that it leaves.
-fn that_says_it_leaves(name: &str) -> Directory {
+/// A directory with one upstream, which announced in a response at 100 ms that it is draining.
+fn with_draining(name: &str) -> Directory {
     let mut directory = Directory::default();
     directory.listed(at_ms(0), ready(name));
     directory.record_draining(at_ms(100), &start(name));
@@ -247,28 +246,28 @@
 }
 
 #[test]
-fn one_that_says_that_it_leaves_is_leaving() {
-    let directory = that_says_it_leaves("a");
+fn an_upstream_that_announces_draining_is_leaving() {
+    let directory = with_draining("a");
     assert_eq!(names(&directory, 100, false), Vec::<String>::new());
     assert_eq!(names(&directory, 1_399, true), ["a"]);
     assert_eq!(names(&directory, 1_400, true), Vec::<String>::new());
 }
 
 #[test]
-fn each_further_word_of_it_counts_from_the_first() {
-    let mut directory = that_says_it_leaves("a");
+fn a_repeated_announcement_does_not_extend_the_grace_period() {
+    let mut directory = with_draining("a");
     directory.record_draining(at_ms(1_300), &start("a"));
     assert_eq!(names(&directory, 1_400, true), Vec::<String>::new());
 }
 
-/// After it has said that it leaves, what becomes of its row takes nothing back.
+/// An announcement that an upstream is draining is not revoked by later changes of its row.
 macro_rules! still_leaving {
-    ($name:ident, $happens:expr) => {
+    ($name:ident, $event:expr) => {
         #[test]
         fn $name() {
-            let mut directory = that_says_it_leaves("a@17");
-            let happens: fn(&mut Directory) = $happens;
-            happens(&mut directory);
+            let mut directory = with_draining("a@17");
+            let apply: fn(&mut Directory) = $event;
+            apply(&mut directory);
             assert_eq!(names(&directory, 5_000, true), Vec::<String>::new());
             directory.expire(at_ms(5_000));
             assert_eq!(names(&directory, 5_000, true), Vec::<String>::new());
@@ -279,22 +278,22 @@
 still_leaving!(after_its_row_was_written_again, |directory| {
     directory.listed(at_ms(4_900), ready("a@17"));
 });
-still_leaving!(after_its_row_went_and_came_back, |directory| {
-    directory.gone(at_ms(200), &"a".parse().expect("a name"));
+still_leaving!(after_its_row_was_removed_and_added_again, |directory| {
+    directory.gone(at_ms(200), &"a".parse().expect("a valid name"));
     directory.expire(at_ms(3_000));
     directory.listed(at_ms(4_900), ready("a@17"));
 });
-still_leaving!(after_the_whole_list_was_read_anew, |directory| {
+still_leaving!(after_the_complete_list_was_read_again, |directory| {
     directory.replace(at_ms(4_900), vec![ready("a@17")]);
 });
-still_leaving!(although_it_is_not_listed_at_first, |directory| {
-    directory.unreadable(at_ms(150), &"a".parse().expect("a name"));
+still_leaving!(although_its_row_was_unreadable_meanwhile, |directory| {
+    directory.unreadable(at_ms(150), &"a".parse().expect("a valid name"));
     directory.listed(at_ms(4_900), ready("a@17"));
 });
 
 #[test]
-fn what_one_start_says_of_leaving_says_nothing_of_a_later_one() {
-    let mut directory = that_says_it_leaves("a@17");
+fn an_announcement_does_not_affect_a_later_incarnation() {
+    let mut directory = with_draining("a@17");
     directory.listed(at_ms(4_900), ready("a@18"));
     assert_eq!(names(&directory, 5_000, false), ["a@18"]);
     directory.record_draining(at_ms(5_100), &start("a@17"));
@@ -302,8 +301,8 @@
 }
 
 #[test]
-fn that_it_leaves_is_forgotten_long_after_its_last_word() {
-    let mut directory = that_says_it_leaves("a");
+fn an_announcement_expires_after_its_last_repetition() {
+    let mut directory = with_draining("a");
     directory.record_draining(at_ms(1_000), &start("a"));
     directory.expire(at_ms(600_999));
     directory.listed(at_ms(600_999), ready("a"));
@@ -313,25 +312,25 @@
     assert_eq!(names(&directory, 601_000, true), ["a"]);
 }
 
-/// A start that has said that it leaves, or not, and then a later one in its place.
+/// A later incarnation supersedes one that has announced its end, or not.
 macro_rules! superseded {
-    ($name:ident, $happens:expr, $later:expr, $is_planned:expr) => {
+    ($name:ident, $event:expr, $later:expr, $is_planned:expr) => {
         #[test]
         fn $name() {
             let mut directory = Directory::default();
             directory.listed(at_ms(0), ready("a@17"));
-            let happens: fn(&mut Directory) = $happens;
-            happens(&mut directory);
+            let apply: fn(&mut Directory) = $event;
+            apply(&mut directory);
             let expected = Superseded { start: start("a@17"), is_planned: $is_planned };
             assert_eq!(directory.listed(at_ms(9_000), $later), [expected]);
         }
     };
 }
 
-superseded!(by_a_later_start_of_its_own, |_| {}, ready("a@18"), false);
-superseded!(by_another_one_at_its_address, |_| {}, in_place_of("a", "b@18"), false);
+superseded!(by_a_later_incarnation_of_its_own, |_| {}, ready("a@18"), false);
+superseded!(by_another_upstream_at_its_address, |_| {}, in_place_of("a", "b@18"), false);
 superseded!(
-    as_planned_after_its_row_said_so,
+    as_planned_after_its_row_announced_it,
     |directory| {
         directory.listed(at_ms(100), member("a@17", MemberState::Draining));
         directory.expire(at_ms(8_000));
@@ -340,15 +339,15 @@
     true
 );
 superseded!(
-    as_planned_after_it_said_so_itself,
+    as_planned_after_a_response_announced_it,
     |directory| directory.record_draining(at_ms(100), &start("a@17")),
     in_place_of("a", "b@18"),
     true
 );
 superseded!(
-    without_a_plan_after_its_row_went,
+    as_unplanned_after_its_row_was_removed,
     |directory| {
-        directory.gone(at_ms(100), &"a".parse().expect("a name"));
+        directory.gone(at_ms(100), &"a".parse().expect("a valid name"));
         directory.expire(at_ms(8_000));
     },
     ready("a@18"),
--- a/tests/all/decisions/list_properties.rs
+++ b/tests/all/decisions/list_properties.rs
@@ -1,4 +1,4 @@
-//! What holds of the list of upstreams whatever is written into it, and in whatever order it comes.
+//! Invariants of the list of upstreams for any content and any order of changes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 
 const INSTANCES: u8 = 4;
 
-/// One thing that comes from the list.
+/// A change of the list.
 #[derive(Debug, Clone)]
 enum Event {
     Listed { instance: u8, born: u64, place: u8, is_ready: bool },
@@ -50,11 +50,11 @@
 }
 
 fn id(instance: u8) -> InstanceId {
-    format!("i-{instance}").parse().expect("a name")
+    format!("i-{instance}").parse().expect("a valid name")
 }
 
 fn service() -> ServiceName {
-    "s".parse().expect("a name")
+    "s".parse().expect("a valid name")
 }
 
 fn member(instance: u8, born: u64, place: u8, is_ready: bool) -> Member {
@@ -62,26 +62,26 @@
         start: UpstreamIncarnation { instance: id(instance), started: Some(StartTime(born)) },
         service: service(),
         addr: SocketAddr::from(([127, 0, 0, 1], u16::from(place) + 1)),
-        zone: "z".parse().expect("a name"),
-        version: "v1".parse().expect("a name"),
+        zone: "z".parse().expect("a valid name"),
+        version: "v1".parse().expect("a valid name"),
         slots: 4,
         state: if is_ready { MemberState::Ready } else { MemberState::Draining },
         cold: ReportedCold::Unsaid,
     }
 }
 
-/// Takes an event in. Gives whether it says that an upstream is not to be used.
-fn take(directory: &mut Directory, now_ms: u64, event: &Event) -> Option<u8> {
+/// Applies a change. Returns the upstream that must not be used after it, if any.
+fn apply(directory: &mut Directory, now_ms: u64, event: &Event) -> Option<u8> {
     let now = at_ms(now_ms);
     match *event {
         Event::Listed { instance, born, place, is_ready } => {
             let listed = member(instance, born, place, is_ready);
-            let over = directory.listed(now, listed.clone());
-            let (earlier, at_address): (Vec<_>, Vec<_>) = over.iter().partition(|over| {
-                over.start.instance == listed.start.instance && over.start != listed.start
+            let superseded = directory.listed(now, listed.clone());
+            let (earlier, at_address): (Vec<_>, Vec<_>) = superseded.iter().partition(|other| {
+                other.start.instance == listed.start.instance && other.start != listed.start
             });
-            assert!(at_address.len() <= 1, "an address is that of one: {over:?}");
-            assert!(earlier.len() <= 1, "one start came just before: {over:?}");
+            assert!(at_address.len() <= 1, "an address has one upstream: {superseded:?}");
+            assert!(earlier.len() <= 1, "there is one previous incarnation: {superseded:?}");
             None
         }
         Event::Gone { instance } => {
@@ -101,7 +101,7 @@
     members.map(|member| member.start.clone()).collect()
 }
 
-/// The same cases in every run.
+/// A fixed seed, so that every run has the same cases.
 fn same_cases() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(11),
@@ -113,14 +113,14 @@
 proptest! {
     #![proptest_config(same_cases())]
 
-    // Events 100 ms apart for less than the time after which an earlier start is believed.
+    // Changes 100 ms apart, for less than the time after which a row of an earlier incarnation is accepted.
     #[test]
-    fn no_start_comes_back_after_a_later_one(events in vec(event(), 1..55)) {
+    fn no_incarnation_comes_back_after_a_later_one(events in vec(event(), 1..55)) {
         let mut directory = Directory::default();
         let mut latest: HashMap<InstanceId, UpstreamIncarnation> = HashMap::new();
         for (n, event) in events.iter().enumerate() {
             let now_ms = n as u64 * 100;
-            let unused = take(&mut directory, now_ms, event);
+            let unused = apply(&mut directory, now_ms, event);
             directory.expire(at_ms(now_ms));
             for start in in_use(&directory, now_ms) {
                 let known = latest.entry(start.instance.clone()).or_insert_with(|| start.clone());
@@ -135,14 +135,14 @@
     }
 
     #[test]
-    fn a_whole_list_gives_the_same_whatever_came_before(
+    fn a_complete_list_gives_the_same_state_after_any_history(
         before in vec(event(), 0..40),
         list in vec((0..INSTANCES, any::<bool>()), 0..4),
     ) {
         const AFTER_ALL_MS: u64 = 100_000;
         let mut directory = Directory::default();
         for (n, event) in before.iter().enumerate() {
-            take(&mut directory, n as u64 * 100, event);
+            apply(&mut directory, n as u64 * 100, event);
         }
         let list: HashMap<u8, bool> = list.into_iter().collect();
         let members = list.iter().map(|(instance, is_ready)| member(*instance, 9, *instance, *is_ready));
@@ -154,28 +154,28 @@
     }
 
     #[test]
-    fn any_bytes_name_an_upstream_or_none(bytes in vec(any::<u8>(), 0..200)) {
+    fn any_bytes_decode_to_an_upstream_or_to_unreadable(bytes in vec(any::<u8>(), 0..200)) {
         let decoded = decode(bytes.into());
         prop_assert!(matches!(decoded, Change::MemberListed(_) | Change::MemberUnreadable(_)));
     }
 
-    // A field of another type, or missing: the entry is another writer's.
+    // A row with a missing field or one of another type was written by someone else.
     #[test]
-    fn an_entry_with_one_wrong_field_names_none(
+    fn a_row_with_one_wrong_field_is_unreadable(
         field in prop::sample::select(FIELDS.to_vec()),
         wrong in prop::sample::select(vec![json!(null), json!([1]), json!({}), json!(-1.5), json!(true)]),
         is_missing in any::<bool>(),
     ) {
-        let mut entry = entry();
-        let fields = entry.as_object_mut().expect("an object");
+        let mut row = row();
+        let fields = row.as_object_mut().expect("an object");
         if is_missing { fields.remove(field); } else { fields.insert(field.to_owned(), wrong); }
-        prop_assert!(matches!(decode(entry.to_string().into()), Change::MemberUnreadable(_)));
+        prop_assert!(matches!(decode(row.to_string().into()), Change::MemberUnreadable(_)));
     }
 }
 
 const FIELDS: [&str; 6] = ["service", "address", "zone", "version", "slots", "state"];
 
-fn entry() -> Value {
+fn row() -> Value {
     json!({
         "service": "s", "address": "127.0.0.1:80", "zone": "z", "version": "v1", "slots": 8,
         "state": "ready", "born": 1_760_000_000_000_u64, "seq": 1,
@@ -188,10 +188,10 @@
 fn decode(value: Bytes) -> Change {
     let row = FeedRow { key: "i-1".to_owned(), value: Some(value), version: StoreVersion::of(1) };
     let change = STORE.decode(Feed::Members, &row).expect("its key is a name");
-    change.expect("it concerns the gateway")
+    change.expect("a change for the gateway")
 }
 
 #[test]
-fn an_entry_as_it_should_be_names_an_upstream() {
-    assert!(matches!(decode(entry().to_string().into()), Change::MemberListed(_)));
+fn a_valid_row_decodes_to_an_upstream() {
+    assert!(matches!(decode(row().to_string().into()), Change::MemberListed(_)));
 }
