--- a/crates/gateway/src/routing/config.rs
+++ b/crates/gateway/src/routing/config.rs
@@ -1,4 +1,4 @@
-//! The whole routing configuration.
+//! The complete routing configuration.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,27 +12,28 @@
 use super::Service;
 use super::Workspace;
 
-/// The whole routing configuration. Immutable: a new version replaces the old one.
+/// The complete routing configuration. Immutable: a new version replaces the old one.
 #[derive(Debug, Clone, Default)]
 pub struct RoutingConfig {
-    /// Its version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
     /// The routes.
     pub routes: Vec<Arc<Route>>,
     /// The services that routes lead to.
     pub services: HashMap<ServiceName, Arc<Service>>,
-    /// What callers may send.
+    /// Limits on requests and connections of callers.
     pub bounds: CallerBounds,
-    /// The workspaces by the digests of their keys; none when no keys are asked for.
+    /// The workspaces by the digests of their keys; none if requests need no key.
     pub workspaces: Option<HashMap<KeyDigest, Arc<Workspace>>>,
 }
 
 impl RoutingConfig {
-    /// The route of a request: of those of the host, the one with the longest prefix.
+    /// The route of a request: of the routes for its host, the one with the longest matching path prefix. Host
+    /// names are compared without regard to case.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let fits = |route: &&Arc<Route>| {
+        let matches = |route: &&Arc<Route>| {
             route.host.eq_ignore_ascii_case(host) && path.starts_with(&route.path_prefix)
         };
-        self.routes.iter().filter(fits).max_by_key(|route| route.path_prefix.len())
+        self.routes.iter().filter(matches).max_by_key(|route| route.path_prefix.len())
     }
 }
--- a/crates/gateway/src/routing/limits.rs
+++ b/crates/gateway/src/routing/limits.rs
@@ -1,15 +1,15 @@
-//! What callers may send.
+//! Limits on requests and connections of callers.
 
 use std::time::Duration;
 
-/// What callers may send, and for how long a connection may rest.
+/// Limits on requests and connections of callers.
 #[derive(Debug, Clone)]
 pub struct CallerBounds {
-    /// The largest request head.
+    /// Largest request head.
     pub max_header_bytes: usize,
-    /// The largest request body.
+    /// Largest request body.
     pub max_body_bytes: usize,
-    /// How long a connection may rest between requests.
+    /// Longest time that a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
--- a/crates/gateway/src/routing/mod.rs
+++ b/crates/gateway/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! The routing configuration: which service a request goes to, and under which limits.
+//! The routing configuration: the service to which a request goes, and the limits that apply to it.
 
 mod allowed_regions;
 mod config;
--- a/crates/gateway/src/routing/route.rs
+++ b/crates/gateway/src/routing/route.rs
@@ -1,4 +1,4 @@
-//! One route.
+//! A route: which requests it matches, where they go and how they are handled.
 
 use std::time::Duration;
 
@@ -11,70 +11,71 @@
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may.
+    /// It may run again, for instance after a lost response.
     Allowed,
     /// It runs at most once.
     Never,
 }
 
-/// A service that a route leads to, with its part of the requests.
+/// A service to which a route sends requests, with its weight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Destination {
     /// The service.
     pub service: ServiceName,
-    /// Its part, relative to the other destinations'.
+    /// Its share of the requests, relative to the weights of the other destinations.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Debug, Clone)]
 pub struct Route {
     /// Its name.
     pub name: RouteName,
-    /// The host that requests name.
+    /// The host name that requests carry.
     pub host: String,
-    /// What their path begins with.
+    /// Prefix of the path of requests.
     pub path_prefix: String,
-    /// Where they go.
+    /// The services to which requests go.
     pub destinations: Vec<Destination>,
-    /// Whether they may run more than once.
+    /// Whether requests may run more than once.
     pub repeat: Repeat,
-    /// Whether answers are event streams.
+    /// Whether responses are event streams.
     pub is_stream: bool,
-    /// Whether a broken stream may be continued by another upstream.
+    /// Whether another upstream may continue a broken stream.
     pub is_resumable: bool,
     /// Whether requests need no key.
     pub is_keyless: bool,
-    /// The most upstreams that one request may be sent to.
+    /// Highest number of upstreams to which one request may be sent.
     pub max_attempts: u32,
-    /// The longest that a request may be held.
+    /// Longest time that a request may be held.
     pub timeout: Duration,
-    /// The time within which the first part of an answer is worth most.
+    /// Target for the time to the first chunk of a response, within which the response has its full value.
     pub target_latency: Duration,
-    /// The longest pause within a stream that still counts as in time.
+    /// Longest gap between the chunks of a stream that still counts as on time.
     pub target_pause: Option<Duration>,
-    /// How urgent requests are; 0 is the most urgent.
+    /// Priority of requests; 0 is the highest.
     pub priority: u8,
-    /// Where its requests may go; none where they may go anywhere.
+    /// The regions to which requests may go; none if they may go anywhere.
     pub allowed_regions: Option<AllowedRegions>,
-    /// The models that the system may choose from, the smallest first; none when the
-    /// caller's choice stands.
+    /// The models from which the system may choose, the smallest first; empty if the caller's choice
+    /// applies.
     pub models: Vec<ModelName>,
 }
 
 impl Route {
-    /// Whether a request may be sent to another upstream though it may have run.
+    /// Whether a request that may have run may be sent to another upstream.
     pub fn is_repeatable(&self) -> bool {
         self.repeat == Repeat::Allowed
     }
 
-    /// The destination of a request, by a number from 0 to 1 that stays with the request.
+    /// The destination of a request, chosen by weight. `unit` is a number from 0 to 1 that is constant for
+    /// the request, so that each attempt has the same destination.
     pub fn destination(&self, unit: f64) -> Option<&ServiceName> {
         let total: u32 = self.destinations.iter().map(|d| d.weight).sum();
-        let mut left = unit * f64::from(total);
+        let mut remaining = unit * f64::from(total);
         for destination in &self.destinations {
-            left -= f64::from(destination.weight);
-            if left < 0.0 {
+            remaining -= f64::from(destination.weight);
+            if remaining < 0.0 {
                 return Some(&destination.service);
             }
         }
--- a/crates/gateway/src/routing/service.rs
+++ b/crates/gateway/src/routing/service.rs
@@ -1,4 +1,4 @@
-//! A service and a workspace, as the routing configuration names them.
+//! Services and workspaces of the routing configuration.
 
 use std::collections::HashMap;
 
@@ -9,38 +9,39 @@
 
 use super::AllowedRegions;
 
-/// A service that routes lead to.
+/// A service to which routes send requests.
 #[derive(Debug, Clone)]
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
-    /// The most connections that one of its upstreams accepts from all callers.
+    /// Highest number of connections that one of its upstreams accepts from all clients together.
     pub max_connections: u32,
-    /// What its upstreams bear while they are cold.
+    /// Capacity of its upstreams while they warm up.
     pub cold: ColdService,
-    /// What each of its models costs, for 1,000 generated tokens.
+    /// Cost of each of its models per 1,000 generated tokens.
     pub model_costs: HashMap<ModelName, f64>,
 }
 
 impl Service {
-    /// The time a model takes as a part of the dearest one's, taken from what it costs:
-    /// the configuration says nothing of their speed. It is a start: answers show what it is.
+    /// An initial estimate of a model's time per token, relative to the most expensive model. It is derived from
+    /// the costs, as the configuration has no speeds; responses then show the actual speed. 1 for a model
+    /// without a cost.
     pub fn model_pace(&self, model: &ModelName) -> f64 {
-        let dearest = self.model_costs.values().copied().fold(0.0, f64::max);
+        let highest_cost = self.model_costs.values().copied().fold(0.0, f64::max);
         match self.model_costs.get(model) {
-            Some(cost) if dearest > 0.0 => cost / dearest,
+            Some(cost) if highest_cost > 0.0 => cost / highest_cost,
             _ => 1.0,
         }
     }
 }
 
-/// Who a key belongs to.
+/// The owner of a key.
 #[derive(Debug, Clone)]
 pub struct Workspace {
     /// Its name.
     pub name: WorkspaceName,
-    /// Its urgency, which goes before the route's.
+    /// The priority of its requests, which overrides the route's.
     pub priority: Option<u8>,
-    /// Where its requests may go; none where they may go anywhere.
+    /// The regions to which its requests may go; none if they may go anywhere.
     pub allowed_regions: Option<AllowedRegions>,
 }
--- a/tests/all/decisions/routing.rs
+++ b/tests/all/decisions/routing.rs
@@ -1,4 +1,4 @@
-//! Routes and destinations.
+//! The choice of routes and destinations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 
 fn route(name: &str, host: &str, path_prefix: &str, weights: &[u32]) -> Arc<Route> {
     let destination = |(n, weight): (usize, &u32)| Destination {
-        service: format!("s{n}").parse().expect("a name"),
+        service: format!("s{n}").parse().expect("a valid name"),
         weight: *weight,
     };
     Arc::new(Route {
-        name: name.parse().expect("a name"),
+        name: name.parse().expect("a valid name"),
         host: host.to_owned(),
         path_prefix: path_prefix.to_owned(),
         destinations: weights.iter().enumerate().map(destination).collect(),
@@ -41,7 +41,7 @@
     RoutingConfig { routes, ..RoutingConfig::default() }
 }
 
-/// A request of this host and path takes this route.
+/// A request with this host and path matches the expected route.
 macro_rules! takes_route {
     ($name:ident, $host:expr, $path:expr, $expected:expr) => {
         #[test]
@@ -56,12 +56,12 @@
 takes_route!(the_longest_prefix, "a.example", "/x/y/z/w", Some("long"));
 takes_route!(a_shorter_prefix, "a.example", "/x/z", Some("short"));
 takes_route!(the_same_path_of_another_host, "b.example", "/x/y/z/w", Some("other"));
-takes_route!(hosts_are_alike_in_capitals, "A.Example", "/x/1", Some("short"));
-takes_route!(no_half_words, "a.example", "/xy/1", None);
+takes_route!(hosts_are_compared_without_case, "A.Example", "/x/1", Some("short"));
+takes_route!(a_prefix_matches_whole_segments, "a.example", "/xy/1", None);
 takes_route!(an_unknown_host, "c.example", "/x/1", None);
 
 #[test]
-fn a_split_goes_by_weight() {
+fn requests_are_split_by_weight() {
     let route = route("r", "a.example", "/", &[90, 10]);
     let services = (0..1_000).map(|n| route.destination(f64::from(n) / 1_000.0));
     let second = services.flatten().filter(|service| service.as_str() == "s1").count();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_weight_of_zero_gets_nothing() {
+fn a_destination_of_weight_zero_gets_no_requests() {
     let route = route("r", "a.example", "/", &[0, 5]);
     for unit in [0.0, 0.5, 0.999, 1.0] {
         assert_eq!(route.destination(unit).map(|service| service.as_str()), Some("s1"));
