--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub(super) struct Choice<'a> {
     pub(super) state: &'a UpstreamsState,
-    pub(super) own_zone: &'a ZoneName,
+    pub(super) local_zone: &'a ZoneName,
     pub(super) regions: &'a RegionsOfZones,
     pub(super) config: &'a BalanceConfig,
     pub(super) has_fleet_homes: bool,
@@ -176,7 +176,7 @@
         let is_worth_other_zone =
             self.has_fleet_homes && saved_ms > other_zone_cost_ms(self.config, request.body_bytes);
         let eligible =
-            members.iter().filter(|member| is_worth_other_zone || member.zone == *self.own_zone);
+            members.iter().filter(|member| is_worth_other_zone || member.zone == *self.local_zone);
         eligible.min_by_key(|member| hash_of(member, part.id)).map(|member| &member.start)
     }
 
@@ -204,7 +204,7 @@
             slots: member.slots,
             remaining_prefill_ms: work.remaining_prefill_ms,
             read_tokens,
-            is_same_zone: member.zone == *self.own_zone,
+            is_same_zone: member.zone == *self.local_zone,
             failure_rate: state.health.failure_rate(now, start),
         }
     }
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -152,7 +152,7 @@
 /// The upstreams of one gateway.
 #[derive(Debug)]
 pub(crate) struct Upstreams {
-    own_zone: ZoneName,
+    local_zone: ZoneName,
     regions: RegionsOfZones,
     config: BalanceConfig,
     decisions: DecisionSettings,
@@ -172,7 +172,7 @@
             max_owners: MAX_OWNERS,
         });
         Self {
-            own_zone: settings.host.zone.clone(),
+            local_zone: settings.host.zone.clone(),
             regions: settings.regions.clone(),
             config,
             decisions,
@@ -267,9 +267,9 @@
         placement: &'a Placement<'a>,
     ) -> Choice<'a> {
         let has_fleet_homes = self.decisions.has_fleet_homes;
-        let (own_zone, config) = (&self.own_zone, &self.config);
+        let (local_zone, config) = (&self.local_zone, &self.config);
         let regions = &self.regions;
-        Choice { state, own_zone, regions, config, has_fleet_homes, now, placement }
+        Choice { state, local_zone, regions, config, has_fleet_homes, now, placement }
     }
 
     /// Counts work sent to an upstream until the guard is dropped.
--- a/crates/policy/src/requested_backoffs.rs
+++ b/crates/policy/src/requested_backoffs.rs
@@ -24,7 +24,7 @@
 }
 
 impl RequestedBackoffs {
-    /// Records a requested back-off, capped at [`MAX_BACKOFF`]. It never shortens an earlier one, and a
+    /// Records a requested back-off, up to an upper bound. It never shortens an earlier one, and a
     /// successful response does not end it: that request may have been accepted before the back-off was
     /// requested.
     pub fn record(&mut self, now: MonoTime, incarnation: &UpstreamIncarnation, backoff: Duration) {
