--- a/crates/gateway/src/rollouts/order_and_record.rs
+++ b/crates/gateway/src/rollouts/order_and_record.rs
@@ -97,7 +97,7 @@
         }
         let is_outlived = known.is_some_and(|known| {
             let is_restored = known.row_version.era < stored.row_version.era;
-            (is_restored || is_again_to_be_stored) && known.record.outlives(&stored.record)
+            (is_restored || is_again_to_be_stored) && known.record.supersedes(&stored.record)
         });
         let is_step = known.is_some_and(|known| known.record.is_same_rollout(&stored.record));
         if !is_outlived || self.is_record_later.is_none() {
--- a/crates/policy/src/rollout/comparison.rs
+++ b/crates/policy/src/rollout/comparison.rs
@@ -1,19 +1,19 @@
-//! Whether bad answers of one kind come more often from the new version than from the old one.
+//! Compares the rates of one kind of bad response between the old and the new version.
 
 use crate::guard::SequentialTest;
 
-/// How unlikely of a good version the evidence must be before it is called bad.
+/// The significance level: the new version is called worse only if a good version would produce such
+/// counts with a lower probability.
 const ALPHA: f64 = 0.000_1;
 
-/// The rate assumed of the old version before anything is known of it, and how many answers
-/// the assumption counts as.
+/// The prior rate of bad responses of the old version, and the number of responses it counts as.
 const PRIOR_RATE: f64 = 0.02;
-const PRIOR_ANSWERS: f64 = 30.0;
+const PRIOR_RESPONSES: f64 = 30.0;
 
-/// How much worse than the old version a version may be.
-const MARGIN: f64 = 0.03;
+/// By how much the rate of a new version may exceed that of the old one.
+const ALLOWED_EXCESS: f64 = 0.03;
 
-/// The old version's rate of one kind of bad answer, and the test of the new version.
+/// The old version's rate of one kind of bad response, and the sequential test of the new version.
 #[derive(Debug, Default)]
 pub(super) struct Comparison {
     old_answers: f64,
@@ -22,7 +22,7 @@
 }
 
 impl Comparison {
-    /// The strength from which on the new version is worse.
+    /// The strength from which on the new version counts as worse.
     pub(super) fn needed_strength() -> f64 {
         -ALPHA.log10()
     }
@@ -33,13 +33,12 @@
     }
 
     pub(super) fn new_version(&mut self, answers: u64, bad: u64) {
-        let old_bad = self.old_bad + PRIOR_RATE * PRIOR_ANSWERS;
-        let base_rate = (old_bad / (self.old_answers + PRIOR_ANSWERS) + MARGIN).min(0.5);
+        let old_bad = self.old_bad + PRIOR_RATE * PRIOR_RESPONSES;
+        let base_rate = (old_bad / (self.old_answers + PRIOR_RESPONSES) + ALLOWED_EXCESS).min(0.5);
         self.test.observe(answers, bad, base_rate);
     }
 
-    /// The decimal logarithm of how much likelier the answers are of a worse version than of a
-    /// good one.
+    /// The decimal logarithm of the likelihood ratio between a worse version and a good one.
     pub(super) fn strength(&self) -> f64 {
         self.test.log_value() / std::f64::consts::LN_10
     }
--- a/crates/policy/src/rollout/counts.rs
+++ b/crates/policy/src/rollout/counts.rs
@@ -1,6 +1,6 @@
-//! What was counted of the versions of a service.
+//! Counts of responses by version of a service.
 
-/// Answers whose times were compared with the usual time at the same load.
+/// Responses whose latency was compared with the baseline at the same load.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TimedCounts {
     /// All of them.
@@ -27,16 +27,16 @@
     }
 }
 
-/// What was counted of one version.
+/// Counts of one version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct VersionCounts {
-    /// Answers.
+    /// Responses.
     pub answers: u64,
-    /// Those that failed.
+    /// Failed responses.
     pub failures: u64,
-    /// Times to the first part of an answer.
+    /// Latencies of the first chunk of a response.
     pub first_parts: TimedCounts,
-    /// How fast streams were generated.
+    /// Token intervals of streams.
     pub paces: TimedCounts,
 }
 
@@ -58,17 +58,17 @@
     }
 }
 
-/// What was counted of the old and the new version of a service.
+/// Counts of the old and the new version of a service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EvidenceTotals {
-    /// What was counted of the old version.
+    /// Counts of the old version.
     pub old: VersionCounts,
-    /// What was counted of the new version.
+    /// Counts of the new version.
     pub new: VersionCounts,
 }
 
 impl EvidenceTotals {
-    /// What came since `earlier`; everything, when the counts have started anew.
+    /// The counts since `earlier`; all of them if the counts were reset in between.
     pub fn since(self, earlier: Self) -> Self {
         if self.old.answers < earlier.old.answers || self.new.answers < earlier.new.answers {
             return self;
--- a/crates/policy/src/rollout/evidence.rs
+++ b/crates/policy/src/rollout/evidence.rs
@@ -1,4 +1,4 @@
-//! Whether a new version is worse than the one it follows.
+//! Decides whether a new version is worse than the old one.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,24 +16,26 @@
 use super::VersionCounts;
 use super::comparison::Comparison;
 
-/// An answer that takes so many times the old version's usual time at the same load counts as
-/// slow. The old version has slow answers too; what counts is whether the new one has more of
-/// them. Of recorded paces of three deployments 0.01 to 0.11 of the old version's were longer
-/// than that, up to 0.06 of a good new one's, and 0.6 to 1 of one three times as slow.
+/// A response that takes this many times the old version's baseline latency at the same load counts as
+/// slow. The old version has slow responses too; what matters is whether the new one has more of them.
+/// In recorded token intervals of three deployments, 0.01 to 0.11 of the old version's exceeded this
+/// factor, up to 0.06 of a good new version's, and 0.6 to 1 of a new version's that was three times as
+/// slow.
 const SLOW_FACTOR: f64 = 2.0;
 
-/// An upstream with fewer requests in progress stands for those of a new version, which gets few
-/// requests: of recorded streams on such upstreams 9 of 10 had 1 to 3 requests in progress.
+/// An upstream with fewer requests in progress is comparable to those of a new version, which gets few
+/// requests: 9 of 10 recorded streams on such upstreams ran with 1 to 3 requests in progress.
 const IDLE_LOAD: f64 = 4.0;
 
-/// What is known of the old and the new version of a service: what this entry has seen, and
-/// what others have counted.
+/// Baselines and counts of the old and the new version of a service, from local requests and from
+/// peers.
 ///
-/// First parts and paces are tested apart: a version that generates slowly answers the first
-/// part of a short prompt in time, and twice as many good observations would hide the bad ones.
+/// First chunks and token intervals are tested separately. A version that generates slowly still sends
+/// the first chunk of a short prompt in time, and twice as many good observations would hide the bad
+/// ones.
 #[derive(Debug, Default)]
 pub struct RolloutEvidence {
-    usual: HashMap<RequestKind, LatencyBaseline>,
+    baselines: HashMap<RequestKind, LatencyBaseline>,
     failures: Comparison,
     first_parts: Comparison,
     paces: Comparison,
@@ -44,61 +46,66 @@
 }
 
 impl RolloutEvidence {
-    /// Another new version is to be judged against the same old one, whose usual times are known.
+    /// Starts the evidence of another new version against the same old one, whose baselines are kept.
     pub fn for_next_order(self) -> Self {
-        Self { usual: self.usual, ..Self::default() }
+        Self { baselines: self.baselines, ..Self::default() }
     }
 
-    /// What an attempt on the old version has shown, at the load that the kind is compared by.
+    /// Adds the result of an attempt on the old version, at the load by which requests of this kind are
+    /// compared.
     pub fn old_version(&mut self, kind: &RequestKind, load: u32, observation: Observation) {
-        let old = self.counts_of(kind, load, observation);
-        // Those that were overdue too: what is usual may have changed.
+        let old = self.classify(kind, load, observation);
+        // Overdue responses are included, as the baseline may have changed.
         if let Observation::Answered(time)
         | Observation::AnsweredOverdue(time)
         | Observation::Paced(time) = observation
         {
-            self.usual.entry(kind.clone()).or_default().observe(load, time);
+            self.baselines.entry(kind.clone()).or_default().observe(load, time);
         }
         if old.paces.timed > 0 {
             self.old_load.observe(load);
         }
-        self.counted_here(EvidenceTotals { old, ..EvidenceTotals::default() });
+        self.add_local_counts(EvidenceTotals { old, ..EvidenceTotals::default() });
     }
 
-    /// What an attempt on the new version has shown, at the load that the kind is compared by.
+    /// Adds the result of an attempt on the new version, at the load by which requests of this kind are
+    /// compared.
     pub fn new_version(&mut self, kind: &RequestKind, load: u32, observation: Observation) {
-        let new = self.counts_of(kind, load, observation);
+        let new = self.classify(kind, load, observation);
         if new.paces.timed > 0 {
             self.new_load.observe(load);
         }
-        self.counted_here(EvidenceTotals { new, ..EvidenceTotals::default() });
+        self.add_local_counts(EvidenceTotals { new, ..EvidenceTotals::default() });
     }
 
-    /// The time from which on an answer is slow; none while that is not known.
+    /// The latency above which a response counts as slow; none while there is no baseline.
     pub fn slow_threshold(&self, kind: &RequestKind, load: u32) -> Option<Duration> {
-        Some(self.usual.get(kind)?.at(load)?.mul_f64(SLOW_FACTOR))
+        Some(self.baselines.get(kind)?.at(load)?.mul_f64(SLOW_FACTOR))
     }
 
-    /// Whether the old version was never seen with as little to do as the new one has: in a burst
-    /// from an entry's first second on, all of its upstreams are busy. Nothing that is known then
-    /// can show that a new version is slow, so one of them has to rest, as a control.
+    /// Whether the old version was never observed at a load as low as the new one's. If a burst lasts
+    /// since this gateway started, all of its upstreams are busy and no known baseline can show that a
+    /// new version is slow, so one upstream has to be kept nearly idle, as a control.
     pub fn needs_control(&self) -> bool {
-        let paces = self.usual.iter().filter(|(kind, _)| kind.part == LatencyKind::Pause);
-        let most_asked = paces.map(|(_, usual)| usual).max_by_key(|usual| usual.answers());
-        most_asked.is_some_and(|usual| !usual.is_known_below(IDLE_LOAD))
+        let paces = self.baselines.iter().filter(|(kind, _)| kind.part == LatencyKind::Pause);
+        let most_used =
+            paces.map(|(_, baseline)| baseline).max_by_key(|baseline| baseline.answers());
+        most_used.is_some_and(|baseline| !baseline.has_baseline_below(IDLE_LOAD))
     }
 
-    /// The old version's usual times, to be told to others.
+    /// The old version's baselines, to send to peers.
     pub fn baseline_updates(&self) -> impl Iterator<Item = (&RequestKind, BaselineLatency)> {
-        self.usual.iter().flat_map(|(kind, usual)| usual.known().map(move |known| (kind, known)))
+        self.baselines
+            .iter()
+            .flat_map(|(kind, baseline)| baseline.known().map(move |known| (kind, known)))
     }
 
-    /// Another entry tells a usual time of the old version.
+    /// Merges a baseline of the old version that a peer sent.
     pub fn apply_baseline_update(&mut self, kind: RequestKind, known: BaselineLatency) {
-        self.usual.entry(kind).or_default().apply_peer_update(known);
+        self.baselines.entry(kind).or_default().apply_peer_update(known);
     }
 
-    /// Another entry has counted these, which were not counted here before.
+    /// Adds counts of a peer, which were not included before.
     pub fn add_peer_counts(&mut self, counts: EvidenceTotals) {
         self.all.add(counts);
         let EvidenceTotals { old, new } = counts;
@@ -115,7 +122,7 @@
         self.tests().iter().any(|(_, comparison)| comparison.is_worse())
     }
 
-    /// How near the evidence is to a verdict.
+    /// How close the tests are to a decision.
     pub fn status(&self) -> EvidenceStatus {
         let strengths = self.tests().map(|(test, comparison)| (test, comparison.strength()));
         EvidenceStatus {
@@ -128,7 +135,7 @@
         }
     }
 
-    /// What this entry has counted itself.
+    /// The counts of this gateway.
     pub fn own(&self) -> EvidenceTotals {
         self.own
     }
@@ -141,13 +148,13 @@
         ]
     }
 
-    fn counted_here(&mut self, counts: EvidenceTotals) {
+    fn add_local_counts(&mut self, counts: EvidenceTotals) {
         self.own.add(counts);
         self.add_peer_counts(counts);
     }
 
-    /// What an observation of either version counts as, by the usual times so far.
-    fn counts_of(&self, kind: &RequestKind, load: u32, observation: Observation) -> VersionCounts {
+    /// The counts of one observation of either version, by the baselines so far.
+    fn classify(&self, kind: &RequestKind, load: u32, observation: Observation) -> VersionCounts {
         let nothing = VersionCounts::default();
         let timed = |time| self.timed(kind, load, time);
         match observation {
@@ -163,7 +170,7 @@
         }
     }
 
-    /// Where the usual time is not known, a time says nothing.
+    /// Without a baseline at the load, a latency counts as nothing.
     fn timed(&self, kind: &RequestKind, load: u32, time: Duration) -> TimedCounts {
         let slow_threshold = self.slow_threshold(kind, load);
         slow_threshold.map_or_else(TimedCounts::default, |slow| TimedCounts::one(time > slow))
--- a/crates/policy/src/rollout/evidence_status.rs
+++ b/crates/policy/src/rollout/evidence_status.rs
@@ -1,19 +1,19 @@
-//! How near the evidence is to a verdict.
+//! How close the tests of a rollout are to a decision.
 
 use super::EvidenceTotals;
 
 /// A test of the new version against the old one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvidenceTest {
-    /// Whether more of its answers fail.
+    /// Whether more of its responses fail.
     Failures,
-    /// Whether the first parts of more of its answers are slow.
+    /// Whether more of its first chunks are slow.
     FirstParts,
-    /// Whether it generates more of its streams slowly.
+    /// Whether more of its streams have slow token intervals.
     Paces,
 }
 
-/// Running mean of the loads at which streams were generated: requests in progress.
+/// The running mean of the loads at which streams were generated, in requests in progress.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct MeanLoad {
     answers: u64,
@@ -26,27 +26,27 @@
         self.requests += (f64::from(load) - self.requests) / self.answers as f64;
     }
 
-    /// Requests in progress; zero before the first answer.
+    /// Requests in progress; zero before the first response.
     pub fn requests(&self) -> f64 {
         self.requests
     }
 }
 
-/// How near the evidence is to a verdict: what an operator needs to tell a version that is
-/// as good as the old one from one that is not yet, or cannot be, found worse.
+/// How close the tests of a rollout are to a decision. Lets operators tell a version that is as good as
+/// the old one from one that is not yet, or cannot be, found worse.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EvidenceStatus {
-    /// Counted by this entry.
+    /// Counts of this gateway.
     pub own: EvidenceTotals,
-    /// Counted by all entries, as far as they told.
+    /// Counts of all gateways, as far as received.
     pub all: EvidenceTotals,
-    /// For each test, the decimal logarithm of how much likelier the answers are of a worse
-    /// version than of a good one.
+    /// For each test, the decimal logarithm of the likelihood ratio between a worse version and a good
+    /// one.
     pub strengths: Vec<(EvidenceTest, f64)>,
-    /// The strength from which on the version is called worse.
+    /// The strength from which on the version counts as worse.
     pub needed_strength: f64,
-    /// The load at which this entry's times of the old version were taken.
+    /// The load at which this gateway observed the old version's token intervals.
     pub old_load: MeanLoad,
-    /// The load at which those of the new version were taken.
+    /// The load at which this gateway observed the new version's token intervals.
     pub new_load: MeanLoad,
 }
--- a/crates/policy/src/rollout/mod.rs
+++ b/crates/policy/src/rollout/mod.rs
@@ -1,9 +1,12 @@
-//! Moving a service's traffic to a new version, or back.
+//! Moves a service's traffic to a new version, or back.
 //!
-//! A roll-out's state is a record in the platform's store, changed only under the
-//! condition that it is still what was read. Any entry may take the next step. First a
-//! small, fixed share of requests goes to the new version; if it proves bad, everything
-//! goes back; if not, everything moves over near the end of the ordered time.
+//! The state of a rollout is a record in the platform's store that is changed only by writes that
+//! require the row version that was read, so any gateway may take the next step. First, a small, fixed
+//! share of the requests goes to the new version. If it proves bad, everything goes back to the old
+//! one; if not, everything moves to the new one near the end of the ordered time.
+//!
+//! Read `record` and `plan` first, then `observation`, `counts`, `latency_baseline`, `stream_pace`,
+//! `comparison` and `evidence`.
 
 mod comparison;
 mod counts;
--- a/crates/policy/src/rollout/observation.rs
+++ b/crates/policy/src/rollout/observation.rs
@@ -1,45 +1,44 @@
-//! What attempts show of a version.
+//! Observations of attempts, by which versions are compared.
 
 use std::time::Duration;
 
 use stallhoist_core::ModelName;
 use stallhoist_core::RouteName;
 
-/// What an attempt has shown.
+/// The result of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observation {
-    /// It was answered; the first part of the answer came after this time.
+    /// There was a response; its first chunk came after this time.
     Answered(Duration),
-    /// It is not answered yet, after the time from which on an answer is slow. Told at
-    /// once: slow answers come late, and a verdict cannot wait for them.
+    /// There is no response yet after the slow threshold. Reported at once: slow responses come late,
+    /// and a decision cannot wait for them.
     Overdue,
-    /// It was answered after it had been overdue; the first part came after this time.
+    /// There was a response after `Overdue`; its first chunk came after this time.
     AnsweredOverdue(Duration),
-    /// A stream was generated at this pace.
+    /// A stream was generated at this token interval.
     Paced(Duration),
-    /// It failed, or its answer broke off.
+    /// It failed, or its response broke.
     Failed,
 }
 
-/// Which time is compared, and by which load.
+/// A latency that is compared, and the load by which it is compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum LatencyKind {
-    /// From sending the request to the first part of its answer. The load is the time that
-    /// it was expected to take, in milliseconds: reading the prompt, as far as the upstream
-    /// has not read it, and what it had to do before. A version that gets all requests at
-    /// once has to read all prompts anew.
+    /// From sending the request to the first chunk of its response. The load is the predicted time, in
+    /// milliseconds, for reading the uncached part of the prompt and for the work queued before it. A
+    /// version that gets all requests at once has to read all prompts anew.
     First,
-    /// The pause between two parts of a stream. The load is the requests in progress.
+    /// The interval between two chunks of a stream. The load is the requests in progress.
     Pause,
 }
 
-/// The requests whose times are compared.
+/// Requests whose latencies are compared with each other.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RequestKind {
-    /// The route; none where it makes no difference, as for how fast a model generates.
+    /// The route; none where it makes no difference, as for token intervals of a model.
     pub route: Option<RouteName>,
-    /// The model that was asked, if any.
+    /// The requested model, if any.
     pub model: Option<ModelName>,
-    /// Which time it is.
+    /// The latency.
     pub part: LatencyKind,
 }
--- a/crates/policy/src/rollout/plan.rs
+++ b/crates/policy/src/rollout/plan.rs
@@ -1,27 +1,27 @@
-//! When a roll-out takes its next step, and which share the new version gets.
+//! The schedule of a rollout, and the new version's share of the requests.
 
 use super::RolloutPhase;
 use super::RolloutRecord;
 
-/// How a roll-out proceeds. Times are parts of the ordered duration, so that a long
-/// roll-out observes the new version for longer.
+/// The schedule of a rollout. Times are fractions of the ordered duration, so a longer rollout observes
+/// the new version for longer.
 ///
-/// A version may be bad only under a load that it does not meet while it is observed, or
-/// turn bad late. Nobody can tell it from a good one then. So the times are set such that,
-/// whatever the version is, it gets no more than what is allowed of the requests by the end of the
-/// ordered duration: `canary_share` x `shift_after` + half of `shift_time` + the rest. Seven
-/// eighths of it are used, 0.13 of the usual 0.15, as requests may come more often near the end.
+/// A version may be bad only under a load that it does not get while it is observed, or turn bad late.
+/// It cannot be told from a good one then. So the schedule bounds the share of the requests that any
+/// version gets by the end of the ordered duration: `canary_share` x `shift_after` + half of
+/// `shift_time` + the rest. Seven eighths of the allowed exposure are used, 0.13 of the default 0.15,
+/// as the request rate may rise near the end.
 #[derive(Debug, Clone)]
 pub struct RolloutConfig {
-    /// The new version's share of requests while it is observed.
+    /// The new version's share of the requests while it is observed.
     pub canary_share: f64,
-    /// When everything begins to move over. Sessions stay on their version before half of
-    /// the duration has passed, so it must not be earlier than that.
+    /// When all requests begin to move. Sessions stay on their version until half of the duration has
+    /// passed, so it must not be earlier than that.
     pub shift_after: f64,
     /// How long the move takes.
     pub shift_time: f64,
-    /// When the roll-out is completed, at the earliest: what runs on the old version
-    /// should have ended, as it is stopped at once.
+    /// The earliest time of completion. Requests on the old version should have ended by then, as it is
+    /// stopped at once.
     pub complete_after: f64,
 }
 
@@ -31,61 +31,61 @@
             canary_share: 0.03,
             shift_after: 0.885,
             shift_time: 0.02,
-            // The order is noticed a second late at times, and the time counts from then.
+            // An order may be noticed a second late, and the time counts from then.
             complete_after: 0.955,
         }
     }
 }
 
-/// The exposure for which the default is made.
-const USUAL_EXPOSURE: f64 = 0.15;
+/// The allowed exposure for which the default schedule is made.
+const DEFAULT_EXPOSURE: f64 = 0.15;
 
-/// The part of the allowed exposure that is used.
+/// The fraction of the allowed exposure that the schedule uses.
 const USED_EXPOSURE: f64 = 0.875;
 
-/// The least exposure that is heeded: with less the move would be an instant.
+/// The lowest exposure that is respected: with less, the move would be instantaneous.
 const MIN_EXPOSURE: f64 = 0.01;
 
 impl RolloutConfig {
-    /// A plan by which no version gets more than so much of the requests in its time.
+    /// A schedule by which no version gets more than `max_exposure` of the requests in its time.
     ///
-    /// Where less is allowed than usual, the new version gets fewer requests while it is observed,
-    /// and everything moves over later and faster. With the usual plan a version that is bad under a
-    /// load that it never met got 769 of 6,851 requests where 698 were allowed. A larger allowance
-    /// changes nothing: there is no use for it.
+    /// If less than the default is allowed, the new version gets fewer requests while it is observed,
+    /// and the move is later and faster. With the default schedule, a version that is bad under a load
+    /// that it never got before received 769 of 6,851 requests where 698 were allowed. A larger
+    /// allowance changes nothing, as it has no use.
     pub fn within(max_exposure: f64) -> Self {
-        let usual = Self::default();
-        if max_exposure.is_nan() || max_exposure >= USUAL_EXPOSURE {
-            return usual;
+        let defaults = Self::default();
+        if max_exposure.is_nan() || max_exposure >= DEFAULT_EXPOSURE {
+            return defaults;
         }
         let max_exposure = max_exposure.max(MIN_EXPOSURE);
-        let ratio = max_exposure / USUAL_EXPOSURE;
-        let canary_share = usual.canary_share * ratio;
-        let shift_time = usual.shift_time * ratio;
+        let ratio = max_exposure / DEFAULT_EXPOSURE;
+        let canary_share = defaults.canary_share * ratio;
+        let shift_time = defaults.shift_time * ratio;
         let used = USED_EXPOSURE * max_exposure;
         let shift_after = (1.0 - shift_time / 2.0 - used) / (1.0 - canary_share);
-        let complete_after = usual.complete_after.max(shift_after + 2.0 * shift_time);
+        let complete_after = defaults.complete_after.max(shift_after + 2.0 * shift_time);
         Self { canary_share, shift_after, shift_time, complete_after }
     }
 }
 
-/// What is to be done now.
+/// The next step of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutStep {
-    /// Nothing yet.
+    /// No step is due.
     Wait,
     /// Store this phase.
     Enter(RolloutPhase),
 }
 
-/// The next step of a roll-out. `now_ms` is the store's clock.
+/// The next step of a rollout. `now_ms` is the store's clock.
 pub fn next_step(
     config: &RolloutConfig,
     record: &RolloutRecord,
     now_ms: u64,
     is_bad: bool,
 ) -> RolloutStep {
-    let elapsed = elapsed_part(record, now_ms);
+    let elapsed = elapsed_fraction(record, now_ms);
     match record.phase {
         RolloutPhase::Completed | RolloutPhase::RolledBack => RolloutStep::Wait,
         _ if is_bad => RolloutStep::Enter(RolloutPhase::RolledBack),
@@ -93,10 +93,14 @@
             RolloutStep::Enter(RolloutPhase::Shifting { since_ms: now_ms })
         }
         RolloutPhase::Shifting { since_ms } if elapsed >= config.complete_after => {
-            // A shift that began late is given its time before the old version is stopped.
+            // A move that began late gets its full time before the old version is stopped.
             let shift_ms = config.shift_time * record.duration_ms as f64;
-            let is_over = now_ms.saturating_sub(since_ms) as f64 >= 2.0 * shift_ms;
-            if is_over { RolloutStep::Enter(RolloutPhase::Completed) } else { RolloutStep::Wait }
+            let is_complete = now_ms.saturating_sub(since_ms) as f64 >= 2.0 * shift_ms;
+            if is_complete {
+                RolloutStep::Enter(RolloutPhase::Completed)
+            } else {
+                RolloutStep::Wait
+            }
         }
         _ => RolloutStep::Wait,
     }
@@ -116,19 +120,19 @@
     }
 }
 
-/// The control gets so small a part of what each upstream of the old version usually gets.
-const CONTROL_PART: f64 = 0.25;
+/// The control gets at least this fraction of an old upstream's normal share.
+const CONTROL_FRACTION: f64 = 0.25;
 
-/// The share of requests that may go to the control, an upstream of the old version that has to
-/// rest: as many as each upstream of the new version gets, and no fewer than a part of the usual.
-/// With the first alone, one of 17 upstreams got two requests in ten seconds, and rested in vain.
+/// The share of requests that may go to the control, a nearly idle upstream of the old version: as many
+/// as each upstream of the new version gets, but no less than a fraction of the normal share. With the
+/// first bound alone, one of 17 upstreams got two requests in ten seconds, too few for a baseline.
 pub fn control_share(canary_share: f64, new_upstreams: usize, old_upstreams: usize) -> f64 {
     let of_new = canary_share / new_upstreams.max(1) as f64;
-    let of_usual = CONTROL_PART / old_upstreams.max(1) as f64;
-    of_new.max(of_usual)
+    let of_normal = CONTROL_FRACTION / old_upstreams.max(1) as f64;
+    of_new.max(of_normal)
 }
 
-fn elapsed_part(record: &RolloutRecord, now_ms: u64) -> f64 {
+fn elapsed_fraction(record: &RolloutRecord, now_ms: u64) -> f64 {
     let duration_ms = record.duration_ms.max(1) as f64;
     now_ms.saturating_sub(record.started_ms) as f64 / duration_ms
 }
--- a/crates/policy/src/rollout/record.rs
+++ b/crates/policy/src/rollout/record.rs
@@ -1,28 +1,29 @@
-//! The stored state of a roll-out.
+//! The stored state of a rollout.
 
 use serde::Deserialize;
 use serde::Serialize;
 use stallhoist_core::VersionName;
 
-/// How far a roll-out has come. Phases only follow in the order below.
+/// The phase of a rollout. Phases only follow in the order below.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RolloutPhase {
-    /// A small share goes to the new version.
+    /// A small share of the requests goes to the new version.
     Canary,
-    /// Everything is moving over since this moment of the store's clock, in milliseconds.
+    /// All requests are moving to the new version since this time of the store's clock, in
+    /// milliseconds.
     Shifting {
-        /// When it began.
+        /// When the move began.
         since_ms: u64,
     },
-    /// Everything goes to the new version; the old one may be stopped.
+    /// All requests go to the new version; the old one may be stopped.
     Completed,
-    /// Nothing goes to the new version.
+    /// No request goes to the new version.
     RolledBack,
 }
 
 impl RolloutPhase {
-    /// Its place in the order.
+    /// The position in the order of phases.
     fn rank(self) -> u8 {
         match self {
             Self::Canary => 0,
@@ -32,35 +33,36 @@
     }
 }
 
-/// The stored state of a roll-out.
+/// The stored state of a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRecord {
     /// The version to move to.
     pub target: VersionName,
-    /// When it was ordered, on the store's clock, in milliseconds.
+    /// When it was ordered, in milliseconds of the store's clock.
     pub started_ms: u64,
-    /// The time it should be done in, in milliseconds.
+    /// The duration in which it should be completed, in milliseconds.
     pub duration_ms: u64,
-    /// How far it has come.
+    /// The current phase.
     pub phase: RolloutPhase,
 }
 
 impl RolloutRecord {
-    /// Whether this, which is known, goes before what a store has that has come back from a copy. That is
-    /// an earlier state of it or of another roll-out, or was begun by one that did not know of it.
-    pub fn outlives(&self, restored: &Self) -> bool {
+    /// Whether this known record takes precedence over one from a store that was restored from a copy.
+    /// The restored one is an earlier state of the same or another rollout, or was begun by a gateway
+    /// that did not know of this one.
+    pub fn supersedes(&self, restored: &Self) -> bool {
         if self.is_same_rollout(restored) {
             return self != restored && self.phase.rank() >= restored.phase.rank();
         }
         self.is_settled() || self.started_ms > restored.started_ms
     }
 
-    /// Whether another record is of the same roll-out, in whichever phase.
+    /// Whether another record is of the same rollout, in any phase.
     pub fn is_same_rollout(&self, other: &Self) -> bool {
         self.target == other.target && self.started_ms == other.started_ms
     }
 
-    /// Whether nothing more will change.
+    /// Whether the rollout is over.
     pub fn is_settled(&self) -> bool {
         matches!(self.phase, RolloutPhase::Completed | RolloutPhase::RolledBack)
     }
--- a/crates/policy/src/rollout/stream_pace.rs
+++ b/crates/policy/src/rollout/stream_pace.rs
@@ -1,23 +1,24 @@
-//! How fast an engine generates, from the pauses of one stream.
+//! Estimates the token interval of an engine from one stream.
 
 use std::time::Duration;
 
-/// So many pauses show the pace: the first ones, as a verdict cannot wait for the rest.
+/// The pauses that make an estimate: the first ones of a stream, as a decision cannot wait for the
+/// rest.
 const PAUSES: usize = 8;
 
-/// Fewer say nothing, unless the stream has taken the whole time below.
+/// The fewest pauses for an estimate, unless the stream has lasted for `MAX_TIME`.
 const MIN_PAUSES: usize = 2;
 
-/// The pace is told after this time at the latest, with the pause that still lasts. An engine
-/// that takes longer for eight parts pauses for 125 ms and more.
+/// The estimate is due after this time at the latest, including the pause in progress. An engine that
+/// takes longer for eight chunks has pauses of at least 125 ms.
 const MAX_TIME: Duration = Duration::from_secs(1);
 
-/// How fast a stream was generated.
+/// The token interval of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pace {
-    /// The usual pause.
+    /// The typical pause between two chunks.
     pub pause: Duration,
-    /// Requests in progress at the upstream during these pauses.
+    /// Mean number of requests in progress at the upstream during these pauses.
     pub in_progress: u32,
 }
 
@@ -27,16 +28,16 @@
     in_progress: u32,
 }
 
-/// How fast an engine generates, from the pauses between the first parts of one stream.
+/// Estimates the token interval of an engine from the pauses between the first chunks of one stream.
 ///
-/// The pace is the mean of the quicker half of the pauses. An engine reads prompts of other
-/// requests between the parts of its answers, which makes single pauses ten times as long; that
-/// shows how many prompts came, not how fast it generates. On an engine with 10 requests in
-/// progress the second part alone came after 28 ms in the median and 134 ms in one case of ten;
-/// by the quicker half of eight pauses 90 in 100 are within a third of the median.
+/// The estimate is the mean of the shorter half of the pauses. An engine reads prompts of other
+/// requests between the chunks of its responses, which makes single pauses ten times as long; these
+/// depend on the number of prompts, not on the speed of generation. On an engine with 10 requests in
+/// progress, the second chunk came after 28 ms in the median and 134 ms in one case of ten; with the
+/// shorter half of eight pauses, 90 in 100 estimates are within a third of the median.
 ///
-/// Each pause has its own load: with the load at the stream's beginning, streams that began
-/// before a burst and went on in it made the usual pause of an idle engine twice as long.
+/// Each pause has its own load. With the load at the stream's start, streams that began before a burst
+/// and continued in it doubled the baseline of an idle engine.
 #[derive(Debug, Default)]
 pub struct StreamPace {
     pauses: Vec<Pause>,
@@ -44,26 +45,26 @@
 }
 
 impl StreamPace {
-    /// A pause has ended, or has lasted so long, with so many requests in progress at the
-    /// upstream. Gives the pace when this one completes it.
+    /// Records a pause that has ended, or has lasted this long, with the requests in progress at the
+    /// upstream. Returns the estimate if this pause completes it.
     pub fn record_pause(&mut self, time: Duration, in_progress: u32) -> Option<Pace> {
         self.pauses.push(Pause { time, in_progress });
         self.time += time;
-        if self.pauses.len() >= PAUSES || self.time >= MAX_TIME { self.so_far(1) } else { None }
+        if self.pauses.len() >= PAUSES || self.time >= MAX_TIME { self.estimate(1) } else { None }
     }
 
-    /// How long the pause that has begun may last before the pace is told all the same.
+    /// How long the current pause may last before the estimate is due without its end.
     pub fn time_left(&self) -> Duration {
         MAX_TIME.saturating_sub(self.time)
     }
 
-    /// The stream has ended, or broke off. Gives the pace if there were enough pauses.
+    /// The estimate when the stream has ended or broken, if there were enough pauses.
     pub fn ended(&self) -> Option<Pace> {
-        self.so_far(MIN_PAUSES)
+        self.estimate(MIN_PAUSES)
     }
 
-    fn so_far(&self, least: usize) -> Option<Pace> {
-        if self.pauses.len() < least {
+    fn estimate(&self, min_pauses: usize) -> Option<Pace> {
+        if self.pauses.len() < min_pauses {
             return None;
         }
         let mut pauses = self.pauses.clone();
