--- a/crates/gateway/src/callers/accept.rs
+++ b/crates/gateway/src/callers/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting callers' connections, and ending them at a planned stop.
+//! Accepts callers' connections, and closes them at a planned stop.
 
 use std::convert::Infallible;
 use std::io;
@@ -24,14 +24,14 @@
 use crate::tcp::SilenceLimits;
 use crate::tcp::tune;
 
-/// A connection's buffer holds the largest head that a configuration may allow.
+/// Size of a connection's buffer: the largest request head that a configuration may allow.
 const MAX_BUFFER_BYTES: usize = 64 << 10;
 
-/// After a failed accept, for want of descriptors mostly, the next waits this long.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, which is mostly due to a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// When a caller is taken for gone.
-const CALLER_SILENCE: SilenceLimits = SilenceLimits {
+/// Limits after which an unresponsive caller's connection is closed.
+const CALLER_SILENCE_LIMITS: SilenceLimits = SilenceLimits {
     probe_after: Duration::from_secs(2),
     probes: 3,
     acknowledged_within: Duration::from_secs(5),
@@ -47,10 +47,10 @@
 }
 
 impl CallerServer {
-    /// Starts listening.
+    /// Binds the address and accepts connections.
     ///
     /// # Errors
-    /// Fails when the address cannot be listened on.
+    /// Fails when the address cannot be bound.
     pub(crate) async fn start(addr: SocketAddr, state: Arc<GatewayState>) -> io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
         let addr = listener.local_addr()?;
@@ -60,23 +60,23 @@
         Ok(Self { addr, close, open, accepting })
     }
 
-    /// Where it listens.
+    /// The bound address.
     pub(crate) fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Closes connections that rest now, and the others when their request has ended. New
-    /// ones, and those on which nothing was asked yet, are taken for one request each.
+    /// Closes idle connections now, and the others when their request has ended. New connections, and those
+    /// without a request so far, are closed after one request.
     pub(crate) fn close_idle(&self) {
         self.close.send_replace(true);
     }
 
-    /// Takes no more connections.
+    /// Stops accepting connections.
     pub(crate) fn stop_accepting(&self) {
         self.accepting.abort();
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub(crate) fn open(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
@@ -100,22 +100,22 @@
                 });
             }
             Err(error) => {
-                log::warn!(error:% = error; "a connection could not be accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!(error:% = error; "failed to accept a connection");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 async fn serve(stream: TcpStream, state: Arc<GatewayState>, mut closing: watch::Receiver<bool>) {
-    if let Err(error) = tune(&stream, CALLER_SILENCE) {
-        log::debug!(error:% = error; "socket options of a caller's connection were not set");
+    if let Err(error) = tune(&stream, CALLER_SILENCE_LIMITS) {
+        log::debug!(error:% = error; "failed to set socket options of a caller's connection");
     }
     let bounds = state.config().map_or_else(CallerBounds::default, |c| c.bounds.clone());
-    let has_asked = Arc::new(AtomicBool::new(false));
-    let asked = Arc::clone(&has_asked);
+    let has_received_request = Arc::new(AtomicBool::new(false));
+    let received_request = Arc::clone(&has_received_request);
     let service = service_fn(move |request| {
-        asked.store(true, Ordering::SeqCst);
+        received_request.store(true, Ordering::SeqCst);
         let state = Arc::clone(&state);
         async move { Ok::<_, Infallible>(handle(state, request).await) }
     });
@@ -125,25 +125,25 @@
         .max_buf_size(MAX_BUFFER_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    // What is waited for must not be kept: it holds a lock on the channel.
-    let told_to_close = async { closing.wait_for(|is_closing| *is_closing).await.is_ok() };
+    // The value that `wait_for` returns holds a lock on the channel and must be dropped.
+    let close_requested = async { closing.wait_for(|is_closing| *is_closing).await.is_ok() };
     let result = tokio::select! {
         result = connection.as_mut() => result,
-        _ = told_to_close => {
-            // On a connection that is new, the first request may be on its way, and hyper
-            // would close it unread. The answer to that request ends the connection.
-            if has_asked.load(Ordering::SeqCst) {
+        _ = close_requested => {
+            // On a new connection the first request may be in transit, and hyper would close the connection
+            // without reading it. The response to that request closes the connection.
+            if has_received_request.load(Ordering::SeqCst) {
                 connection.as_mut().graceful_shutdown();
             }
             connection.await
         }
     };
     if let Err(error) = result {
-        log::debug!(error:% = error; "a caller's connection ended");
+        log::debug!(error:% = error; "a caller's connection closed with an error");
     }
 }
 
-/// Counts an open connection until it is dropped.
+/// Counts an open connection until dropped.
 #[derive(Debug)]
 struct OpenConnection(Arc<AtomicUsize>);
 
--- a/crates/gateway/src/callers/handler.rs
+++ b/crates/gateway/src/callers/handler.rs
@@ -1,4 +1,4 @@
-//! One request of a caller: checked, forwarded, answered.
+//! Checks a caller's request, executes it and builds the response.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -18,10 +18,10 @@
 use hyper::body::Body;
 use hyper::body::Incoming;
 
-use super::answer;
-use super::answer::AnswerBody;
 use super::rejection::Rejection;
-use super::rejection::given_up;
+use super::rejection::abandoned_response;
+use super::response;
+use super::response::ResponseBody;
 use crate::dialect::CallHead;
 use crate::metrics::RequestEnd;
 use crate::planned_stop::Work;
@@ -35,21 +35,21 @@
 use crate::state::GatewayState;
 use crate::state::InProgress;
 
-/// The bytes that each header takes besides its name and value: `: ` and the line's end.
+/// Bytes of a header line besides its name and value: `: ` and the line end.
 const HEADER_OVERHEAD_BYTES: usize = 4;
 
-/// How long a request waits at an entry that has just started until it knows the
-/// configuration. Callers give up a request that is not read within a second.
-const WAIT_UNTIL_INFORMED: Duration = Duration::from_millis(800);
+/// How long a request waits for the configuration at a gateway that has just started. Callers abandon a request
+/// that is not read within a second.
+const CONFIG_WAIT_LIMIT: Duration = Duration::from_millis(800);
 
-/// The least urgent priority: a larger number in the configuration counts as this one.
-const LEAST_URGENT: u8 = 5;
+/// The lowest priority, which has the largest number: a larger one in the configuration counts as this one.
+const LOWEST_PRIORITY: u8 = 5;
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) async fn handle(
     state: Arc<GatewayState>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let counted = InProgress::count(&state);
     let id = state.dialect.call_id(request.headers()).unwrap_or_default().to_owned();
     let mut response = match accept(&state, request).await {
@@ -69,10 +69,13 @@
 }
 
 /// Checks a request and reads its body.
+///
+/// # Errors
+/// Fails when the request must not be forwarded, or its body cannot be read.
 async fn accept(state: &GatewayState, request: Request<Incoming>) -> Result<Call, Rejection> {
     let arrived = state.now();
     wait_until_informed(state).await?;
-    let config = state.config().ok_or(Rejection::NotInformed)?;
+    let config = state.config().ok_or(Rejection::ConfigUnknown)?;
     let (parts, body) = request.into_parts();
     if head_bytes(&parts) > config.bounds.max_header_bytes {
         return Err(Rejection::HeadTooLarge);
@@ -81,16 +84,16 @@
     let head = state.dialect.read_call(&parts).map_err(Rejection::Unreadable)?;
     find_workspace(&config, &route, &head)?;
     let body = read_body(body, config.bounds.max_body_bytes).await?;
-    // The body may have taken its time: what is decided now is by the newest configuration.
+    // The configuration may have changed while the body was read: the newest one decides.
     let config = state.config().unwrap_or(config);
     let route = Arc::clone(find_route(&config, &parts).ok_or(Rejection::NoRoute)?);
     let workspace = find_workspace(&config, &route, &head)?;
-    if !state.takes(work_of(&route, &head)) {
+    if !state.takes(expected_work(&route, &head)) {
         return Err(Rejection::Stopping);
     }
     let service_name = route.destination(Call::unit(&head)).cloned().ok_or(Rejection::NoRoute)?;
     let wait = head.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
-    let own_priority = workspace.as_ref().and_then(|workspace| workspace.priority);
+    let workspace_priority = workspace.as_ref().and_then(|workspace| workspace.priority);
     Ok(Call {
         service: config.services.get(&service_name).cloned(),
         service_name,
@@ -98,7 +101,7 @@
             .as_ref()
             .and_then(|workspace| workspace.allowed_regions.clone()),
         workspace: workspace.map(|workspace| workspace.name.clone()),
-        priority: own_priority.unwrap_or(route.priority).min(LEAST_URGENT),
+        priority: workspace_priority.unwrap_or(route.priority).min(LOWEST_PRIORITY),
         deadline: arrived.after(wait),
         arrived,
         head,
@@ -111,16 +114,16 @@
     })
 }
 
-/// Waits until enough is known to decide about requests. A process that stops may end before
-/// that, and would cut those that wait.
+/// Waits until the configuration is known. A process that is stopping rejects requests at once, as it may exit
+/// before that and would break off those that wait.
 async fn wait_until_informed(state: &GatewayState) -> Result<(), Rejection> {
     if !state.is_informed() && state.is_leaving() {
         return Err(Rejection::Stopping);
     }
-    if state.wait_until_informed(WAIT_UNTIL_INFORMED).await {
+    if state.wait_until_informed(CONFIG_WAIT_LIMIT).await {
         return Ok(());
     }
-    Err(Rejection::NotInformed)
+    Err(Rejection::ConfigUnknown)
 }
 
 fn head_bytes(parts: &request::Parts) -> usize {
@@ -135,7 +138,7 @@
     config.route(host, parts.uri.path())
 }
 
-/// The host that a request names, without a port.
+/// Host of the `Host` header, without the port.
 fn host_of(headers: &HeaderMap) -> Option<&str> {
     let host = headers.get(HOST)?.to_str().ok()?;
     Some(host.rsplit_once(':').map_or(host, |(name, _)| name))
@@ -156,8 +159,8 @@
     Ok(found)
 }
 
-/// What is known of how long a request takes.
-fn work_of(route: &Route, head: &CallHead) -> Work {
+/// Kind and size of a request, which bound its duration.
+fn expected_work(route: &Route, head: &CallHead) -> Work {
     if !route.is_stream {
         return Work::Call;
     }
@@ -169,9 +172,9 @@
         return Err(Rejection::BodyTooLarge);
     }
     match Limited::new(body, max_bytes).collect().await {
-        Ok(whole) => Ok(whole.to_bytes()),
+        Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(Rejection::BodyTooLarge),
-        Err(_) => Err(Rejection::BodyBroken),
+        Err(_) => Err(Rejection::BodyIncomplete),
     }
 }
 
@@ -179,21 +182,21 @@
     state: &Arc<GatewayState>,
     call: Call,
     counted: InProgress,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let execution = Execution::new(Arc::clone(state), call);
     let (outcome, execution) = execution.run().await;
     if let Some(execution) = &execution {
-        finished(state, execution, &outcome);
+        record_outcome(state, execution, &outcome);
     }
     match outcome {
-        Outcome::Whole(reply) => answer::whole(reply),
-        Outcome::Stream(relay) => answer::stream(relay, counted),
-        Outcome::NoResponse(abandon_reason) => given_up(abandon_reason),
+        Outcome::Whole(reply) => response::complete(reply),
+        Outcome::Stream(relay) => response::stream(relay, counted),
+        Outcome::NoResponse(abandon_reason) => abandoned_response(abandon_reason),
     }
 }
 
-/// Counts and logs a request that has its final answer.
-fn finished(state: &GatewayState, execution: &Execution, outcome: &Outcome) {
+/// Counts and logs a request that has its final response.
+fn record_outcome(state: &GatewayState, execution: &Execution, outcome: &Outcome) {
     let (end, result) = match outcome {
         Outcome::Whole(reply) if reply.status.is_server_error() => {
             (RequestEnd::UpstreamFailure, "the upstream's failure is passed on".to_owned())
--- a/crates/gateway/src/callers/mod.rs
+++ b/crates/gateway/src/callers/mod.rs
@@ -1,8 +1,13 @@
-//! The interface to callers.
+//! The HTTP interface to callers.
+//!
+//! Read `handler` first, which checks and executes one request; `accept` serves the connections, `response` and
+//! `rejection` build the responses.
+//!
+//! Invariant: a request that is rejected here has reached no upstream.
 
 mod accept;
-mod answer;
 mod handler;
 mod rejection;
+mod response;
 
 pub(crate) use accept::CallerServer;
--- a/crates/gateway/src/callers/answer.rs
+++ b/crates/gateway/src/callers/response.rs
@@ -1,4 +1,4 @@
-//! The bodies of answers to callers.
+//! Responses to callers that forward an upstream's response.
 
 use bytes::Bytes;
 use futures_util::stream;
@@ -9,16 +9,16 @@
 use http_body_util::StreamBody;
 use http_body_util::combinators::UnsyncBoxBody;
 
+use crate::request::CompleteResponse;
 use crate::request::Relay;
 use crate::request::RelayError;
-use crate::request::WholeReply;
 use crate::state::InProgress;
 
-/// The body of an answer.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, RelayError>;
+/// Body of a response to a caller.
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, RelayError>;
 
-/// An upstream's whole reply, as it is.
-pub(crate) fn whole(reply: WholeReply) -> Response<AnswerBody> {
+/// Forwards an upstream's complete response unchanged.
+pub(crate) fn complete(reply: CompleteResponse) -> Response<ResponseBody> {
     let body = Full::new(reply.body).map_err(|never| match never {});
     let mut response = Response::new(body.boxed_unsync());
     *response.status_mut() = reply.status;
@@ -26,9 +26,9 @@
     response
 }
 
-/// An event stream. When it breaks, the connection is closed without the end of the
-/// body, so that it does not look complete.
-pub(crate) fn stream(relay: Box<Relay>, counted: InProgress) -> Response<AnswerBody> {
+/// Forwards an event stream. When it breaks, the connection is closed without the end of the body, so that the
+/// caller does not take the response for complete.
+pub(crate) fn stream(relay: Box<Relay>, counted: InProgress) -> Response<ResponseBody> {
     let (status, headers) = relay.head();
     let frames = stream::try_unfold((relay, counted), |(mut relay, counted)| async move {
         let events = relay.next().await?;
--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -17,7 +17,7 @@
 
 use super::BrokenResponse;
 use super::Call;
-use super::WholeReply;
+use super::CompleteResponse;
 use crate::dialect::AttemptHead;
 use crate::dialect::ModelWish;
 use crate::dialect::ReplyHead;
@@ -27,7 +27,7 @@
 use crate::state::GatewayState;
 use crate::upstream::ConnectSettings;
 use crate::upstream::Connection;
-use crate::upstream::OpenReply;
+use crate::upstream::OpenResponse;
 use crate::upstream::Outgoing;
 use crate::upstream::SendError;
 use crate::upstream::connect;
@@ -42,7 +42,7 @@
 /// A stream whose first events have been received.
 #[derive(Debug)]
 pub(crate) struct OpenStream {
-    pub(crate) reply: OpenReply,
+    pub(crate) reply: OpenResponse,
     pub(crate) reply_head: ReplyHead,
     pub(crate) first_events: Option<EventFrames>,
     pub(crate) events: EventBuffer,
@@ -61,7 +61,7 @@
     /// The upstream states that it did not run the request.
     NotRun(StatusCode),
     /// The upstream's complete response.
-    Whole(WholeReply),
+    Whole(CompleteResponse),
     /// A stream has begun.
     Stream(Box<OpenStream>),
     /// It may have run, but its response is lost.
@@ -231,7 +231,7 @@
             return self.open_stream(reply, head, work).await;
         }
         match reply.read_whole(MAX_BUFFERED_BYTES).await {
-            Ok((head, body)) => AttemptEnd::Whole(WholeReply {
+            Ok((head, body)) => AttemptEnd::Whole(CompleteResponse {
                 status: head.status,
                 headers: self.state.dialect.caller_headers(&head.headers),
                 body,
@@ -272,7 +272,7 @@
     /// Waits for the first complete event, so that a failure before it can be retried.
     async fn open_stream(
         &self,
-        mut reply: OpenReply,
+        mut reply: OpenResponse,
         reply_head: ReplyHead,
         work: WorkGuard,
     ) -> AttemptEnd {
--- a/crates/gateway/src/request/execution/mod.rs
+++ b/crates/gateway/src/request/execution/mod.rs
@@ -25,9 +25,9 @@
 use crate::metrics::AttemptResult;
 use crate::request::AbandonReason;
 use crate::request::Call;
+use crate::request::CompleteResponse;
 use crate::request::Outcome;
 use crate::request::Relay;
-use crate::request::WholeReply;
 use crate::request::attempt::Attempt;
 use crate::request::attempt::AttemptEnd;
 use crate::request::attempt::OpenStream;
@@ -61,7 +61,7 @@
     tried: Vec<UpstreamIncarnation>,
     progress: RequestProgress,
     /// The last failure response of an upstream.
-    failure: Option<WholeReply>,
+    failure: Option<CompleteResponse>,
     /// Id of the last event that the caller has received.
     last_event: Option<u64>,
     /// Seed that selects the upstream of a request suspected of crashing upstreams, instead of the cost.
@@ -362,6 +362,6 @@
 /// Response of an attempt.
 #[derive(Debug)]
 enum AttemptResponse {
-    Whole(WholeReply),
+    Whole(CompleteResponse),
     Stream(Box<OpenStream>),
 }
--- a/crates/gateway/src/request/mod.rs
+++ b/crates/gateway/src/request/mod.rs
@@ -18,7 +18,7 @@
 pub(crate) use call::Call;
 pub(crate) use execution::Execution;
 pub(crate) use outcome::AbandonReason;
+pub(crate) use outcome::CompleteResponse;
 pub(crate) use outcome::Outcome;
-pub(crate) use outcome::WholeReply;
 pub(crate) use relay::Relay;
 pub(crate) use relay::RelayError;
--- a/crates/gateway/src/request/outcome.rs
+++ b/crates/gateway/src/request/outcome.rs
@@ -11,7 +11,7 @@
 
 /// A complete response of an upstream, forwarded unchanged.
 #[derive(Debug, Clone)]
-pub(crate) struct WholeReply {
+pub(crate) struct CompleteResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub(crate) enum Outcome {
     /// An upstream's complete response, a success or a failure.
-    Whole(WholeReply),
+    Whole(CompleteResponse),
     /// An upstream's event stream.
     Stream(Box<Relay>),
     /// No response of an upstream.
--- a/crates/gateway/src/upstream/call.rs
+++ b/crates/gateway/src/upstream/call.rs
@@ -30,13 +30,13 @@
 /// A response whose body has not been read. Dropping it closes the connection, by which the upstream learns
 /// that the caller has gone.
 #[derive(Debug)]
-pub(crate) struct OpenReply {
+pub(crate) struct OpenResponse {
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
     driver: Driver,
 }
 
-impl OpenReply {
+impl OpenResponse {
     /// Waits until at least one more event is complete. None at the end of the stream.
     ///
     /// # Errors
@@ -89,7 +89,7 @@
 pub(crate) async fn send(
     mut connection: Connection,
     outgoing: Outgoing,
-) -> Result<OpenReply, SendError> {
+) -> Result<OpenResponse, SendError> {
     let mut request = Request::new(Full::new(outgoing.body));
     *request.method_mut() = outgoing.method;
     *request.uri_mut() = outgoing.target;
@@ -97,7 +97,7 @@
     match connection.sender.try_send_request(request).await {
         Ok(response) => {
             let (head, body) = response.into_parts();
-            Ok(OpenReply { head, body, driver: connection.driver })
+            Ok(OpenResponse { head, body, driver: connection.driver })
         }
         Err(mut error) => match error.take_message() {
             Some(_) => Err(SendError::NotSent),
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -11,7 +11,7 @@
 mod connection;
 mod error;
 
-pub(crate) use call::OpenReply;
+pub(crate) use call::OpenResponse;
 pub(crate) use call::Outgoing;
 pub(crate) use call::ReadError;
 pub(crate) use call::StreamError;
--- a/tests/all/gateway/callers.rs
+++ b/tests/all/gateway/callers.rs
@@ -1,4 +1,4 @@
-//! Requests that are not forwarded.
+//! Requests that are rejected without reaching an upstream, and callers that disconnect.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     World::start(PLAIN, &[Behaviour::answer("done")]).await
 }
 
-/// A request is answered with this status and reaches no upstream.
+/// Checks that a request gets this status and reaches no upstream.
 macro_rules! rejected {
     ($name:ident, $status:expr, $request:expr) => {
         case!($name, async {
@@ -43,7 +43,7 @@
 rejected!(a_head_that_is_too_long, 431, |w| {
     w.request(Method::GET, "/safe/x", "id-1").header("X-Long", "x".repeat(5_000))
 });
-rejected!(a_token_count_that_is_no_number, 400, |w| {
+rejected!(a_non_numeric_token_count, 400, |w| {
     w.request(Method::GET, "/safe/x", "id-1").header("Token-Usage", "many")
 });
 
@@ -65,8 +65,7 @@
     assert_eq!(world.runs(), 0);
 });
 
-/// Bytes that are not one proper request: nothing of them reaches an upstream, and the
-/// connection is closed.
+/// Checks that bytes which are not a valid request reach no upstream, and that the connection is closed.
 macro_rules! malformed {
     ($name:ident, $bytes:expr) => {
         case!($name, async {
@@ -78,7 +77,7 @@
     };
 }
 
-case!(a_torn_head, async {
+case!(a_truncated_head, async {
     let world = world().await;
     let mut stream = connect(&world).await;
     stream.write_all(b"GET /safe/x HTT").await.expect("the bytes are sent");
@@ -101,9 +100,9 @@
      Authorization: Bearer key-of-workspace-1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
 );
 
-// What stands in the body of a request that claims both a length and chunks is a body,
-// never a second request.
-case!(a_request_smuggled_in_another_is_not_run, async {
+// Guards against request smuggling: the body of a request with both a length and chunked encoding must never be
+// taken for a second request.
+case!(a_smuggled_request_is_not_run, async {
     let world = world().await;
     let inner = "GET /safe/smuggled HTTP/1.1\r\nHost: test.example\r\nRequest-Id: id-2\r\n\
                  Authorization: Bearer key-of-workspace-1\r\n\r\n";
@@ -119,7 +118,7 @@
     assert!(!lines.iter().any(|line| line.contains("smuggled")), "{lines:?}");
 });
 
-case!(chunked_bodies_are_taken, async {
+case!(chunked_bodies_are_accepted, async {
     let world = world().await;
     let request = "POST /once/x HTTP/1.1\r\nHost: test.example\r\nRequest-Id: id-1\r\n\
                    Authorization: Bearer key-of-workspace-1\r\nConnection: close\r\n\
@@ -129,7 +128,7 @@
     assert_eq!(&world.upstreams[0].arrivals()[0].body[..], b"abcde");
 });
 
-case!(an_entry_that_knows_nothing_refuses_and_says_when_to_come_back, async {
+case!(a_gateway_without_configuration_rejects_with_a_retry_after, async {
     let store = StoreStandin::start().await.expect("the store starts");
     store.set_fault(Some(StoreFault::Silent));
     let gateway = start_gateway(&store).await;
@@ -142,15 +141,15 @@
     assert_eq!(ready, 503);
 });
 
-case!(a_caller_that_leaves_ends_the_work, async {
+case!(a_caller_that_disconnects_cancels_its_request, async {
     let world = World::start(PLAIN, &[Behaviour::Hang]).await;
     let request = world.request(Method::GET, "/safe/x", "id-1").timeout(Duration::from_millis(200));
-    assert!(send(request).await.is_none(), "the caller gave up");
-    wait_until("the upstream sees it", async || world.upstreams[0].abandoned() == 1).await;
+    assert!(send(request).await.is_none(), "the caller has disconnected");
+    wait_until("the upstream detects it", async || world.upstreams[0].abandoned() == 1).await;
     assert_eq!(world.runs(), 1);
 });
 
-case!(a_caller_that_leaves_a_stream_ends_the_work, async {
+case!(a_caller_that_disconnects_cancels_its_stream, async {
     let slow = Behaviour::Stream {
         events: 1_000,
         pause: Duration::from_millis(20),
@@ -159,20 +158,20 @@
     };
     let world = World::start(super::world::ENGINE, &[slow]).await;
     let request = world.stream("id-1").timeout(Duration::from_millis(300));
-    let answer = send(request).await.expect("the head came");
+    let answer = send(request).await.expect("the head is received");
     assert!(!answer.is_whole);
     wait_until("it is counted", async || {
         world.metrics().await.contains("stallhoist_requests_total{end=\"Abandoned\"} 1")
     })
     .await;
-    wait_until("the upstream sees it", async || world.upstreams[0].abandoned() == 1).await;
+    wait_until("the upstream detects it", async || world.upstreams[0].abandoned() == 1).await;
 });
 
 async fn connect(world: &World) -> TcpStream {
     TcpStream::connect(world.gateway.callers_addr()).await.expect("it listens")
 }
 
-/// Sends bytes as they are, and reads until the connection is closed by the other side.
+/// Sends bytes unchanged, and reads until the other side closes the connection.
 async fn raw(world: &World, bytes: &str) -> String {
     let mut stream = connect(world).await;
     stream.write_all(bytes.as_bytes()).await.expect("the bytes are sent");
@@ -181,7 +180,7 @@
 
 async fn read_all(stream: &mut TcpStream) -> String {
     let mut reply = Vec::new();
-    // A connection that is reset has said all it had to say.
+    // A reset connection is the end of the reply as well.
     let _ = stream.read_to_end(&mut reply).await;
     String::from_utf8_lossy(&reply).into_owned()
 }
--- a/tests/all/gateway/callers_of_fleet.rs
+++ b/tests/all/gateway/callers_of_fleet.rs
@@ -1,4 +1,4 @@
-//! Several entries before upstreams of one plain service, and callers that note what they got.
+//! Several gateways in front of upstreams of one plain service, and callers that record their responses.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -17,19 +17,19 @@
 use super::world::PLAIN;
 use crate::harness::wait_until;
 
-/// What an upstream works on one request: a caller that asks again at once sends some 20 a second.
+/// Processing time of one request: a caller that repeats its request at once sends about 20 per second.
 pub(super) const WORK: Duration = Duration::from_millis(50);
 
-/// The upstream of an answer, as it says itself.
+/// Header in which an upstream names itself.
 const UPSTREAM: &str = "x-upstream";
 
-/// Entries, and upstreams of one plain service.
+/// Gateways, and upstreams of one plain service.
 pub(super) struct World {
     pub(super) fleet: Fleet,
     pub(super) upstreams: Vec<UpstreamStandin>,
 }
 
-/// An answer that a caller got.
+/// A response that a caller received.
 pub(super) struct Got {
     pub(super) id: String,
     pub(super) entry: usize,
@@ -40,33 +40,33 @@
 }
 
 impl Got {
-    /// Whether an upstream says this in it.
-    fn says(&self, upstream: usize, name: &str) -> bool {
+    /// Whether the response comes from this upstream and has this header.
+    fn has_header(&self, upstream: usize, name: &str) -> bool {
         let instance = self.headers.get(UPSTREAM).and_then(|value| value.to_str().ok());
         instance == Some(&format!("i-{upstream}")) && self.headers.contains_key(name)
     }
 }
 
-/// The statuses that there are among answers, in order.
+/// The distinct statuses of responses, in order.
 pub(super) fn statuses(got: &[Got]) -> Vec<u16> {
     let statuses: BTreeSet<u16> = got.iter().map(|got| got.status).collect();
     statuses.into_iter().collect()
 }
 
-/// When each entry first passed on an answer in which an upstream says this.
+/// When each gateway first forwarded a response of this upstream with this header.
 pub(super) fn first_told(got: &[Got], upstream: usize, name: &str) -> HashMap<usize, Instant> {
-    let mut told = HashMap::new();
-    for got in got.iter().filter(|got| got.says(upstream, name)) {
-        let first = told.entry(got.entry).or_insert(got.at);
+    let mut first_times = HashMap::new();
+    for got in got.iter().filter(|got| got.has_header(upstream, name)) {
+        let first = first_times.entry(got.entry).or_insert(got.at);
         *first = got.at.min(*first);
     }
-    told
+    first_times
 }
 
-/// The entry to which a caller sent a request.
+/// The gateway to which a caller sent a request, by the request's id.
 pub(super) fn entry_of(id: &str) -> usize {
     let entry = id.split_once('-').and_then(|(entry, _)| entry.parse().ok());
-    entry.expect("an entry's number")
+    entry.expect("a gateway's number")
 }
 
 impl World {
@@ -75,8 +75,8 @@
         let mut started = Vec::new();
         for n in 0..upstreams {
             let instance = format!("i-{n}");
-            let usual = Behaviour::Answer { body: instance.clone(), after: WORK };
-            let upstream = UpstreamStandin::start(&instance, usual).await;
+            let behaviour = Behaviour::Answer { body: instance.clone(), after: WORK };
+            let upstream = UpstreamStandin::start(&instance, behaviour).await;
             let upstream = upstream.expect("the upstream starts");
             upstream.says(UPSTREAM, &instance);
             let entry = upstream.entry(PLAIN, "zone-1", "v1", "ready");
@@ -85,7 +85,7 @@
         }
         let world = Self { fleet, upstreams: started };
         let last = format!("i-{}", upstreams - 1);
-        wait_until("all upstreams and entries are known", async || {
+        wait_until("all upstreams and gateways are known", async || {
             let dumps = world.fleet.dumps().await;
             let knows_all = |dump: &Value| {
                 dump["upstreams"].to_string().contains(&last) && dump["entries"] == entries
@@ -96,7 +96,7 @@
         world
     }
 
-    /// A request to an entry, whose id names it.
+    /// A request to a gateway, with an id that names the gateway.
     pub(super) fn request(&self, entry: usize) -> (String, RequestBuilder) {
         let url = format!("http://{}/safe/x", self.fleet.entries[entry].callers_addr());
         let request = self.fleet.http.get(url).header("Host", "test.example").bearer_auth(KEY);
@@ -105,7 +105,7 @@
         (id, request)
     }
 
-    /// A caller of one entry that asks again and again, until then.
+    /// Sends requests to one gateway, one after the other, until `end`.
     pub(super) async fn ask_until(&self, entry: usize, end: Instant) -> Vec<Got> {
         let mut got = Vec::new();
         while Instant::now() < end {
@@ -118,7 +118,7 @@
         got
     }
 
-    /// So many callers of each entry.
+    /// Runs `callers` concurrent callers of each gateway until `end`.
     pub(super) async fn ask_all_until(&self, callers: usize, end: Instant) -> Vec<Got> {
         let entries = (0..self.fleet.entries.len()).flat_map(|n| std::iter::repeat_n(n, callers));
         let got = join_all(entries.map(|entry| self.ask_until(entry, end))).await;
--- a/tests/all/gateway/headers.rs
+++ b/tests/all/gateway/headers.rs
@@ -1,4 +1,4 @@
-//! What reaches an upstream, and what comes back.
+//! Headers of requests to upstreams and of responses to callers.
 
 use reqwest::Method;
 use stallhoist_standins::users_platform::Behaviour;
@@ -13,7 +13,7 @@
     World::start(PLAIN, &[Behaviour::answer("done")]).await
 }
 
-case!(the_request_is_passed_on_unchanged, async {
+case!(the_request_is_forwarded_unchanged, async {
     let world = world().await;
     let request = world.request(Method::POST, "/once/x?a=b%20c", "id-1").body("a body");
     let answer = send(request.header("X-Own", "kept")).await.expect("an answer");
@@ -26,7 +26,7 @@
     assert_eq!(&arrival.body[..], b"a body");
 });
 
-case!(the_system_adds_upstream_workspace_and_remaining_time, async {
+case!(upstream_workspace_and_remaining_time_are_added, async {
     let world = world().await;
     send(world.request(Method::GET, "/safe/x", "id-1")).await.expect("an answer");
     let arrival = world.upstreams[0].arrivals().remove(0);
@@ -36,15 +36,15 @@
     assert!((1..=4_000).contains(&left_ms), "{left_ms}");
 });
 
-case!(the_key_is_not_shown_to_upstreams, async {
+case!(the_key_is_not_forwarded, async {
     let world = world().await;
     send(world.request(Method::GET, "/safe/x", "id-1")).await.expect("an answer");
     let arrival = world.upstreams[0].arrivals().remove(0);
     assert!(!format!("{:?}", arrival.headers).contains(KEY));
 });
 
-/// A caller's value of a header that only the system may set is not passed on.
-macro_rules! not_passed_on {
+/// Checks that a caller's value of a header that only the gateway may set is not forwarded.
+macro_rules! not_forwarded {
     ($name:ident, $header:expr) => {
         case!($name, async {
             let world = world().await;
@@ -56,18 +56,18 @@
     };
 }
 
-not_passed_on!(forged_tenant, "tenant");
-not_passed_on!(forged_hold, "hold");
-not_passed_on!(forged_pin, "pin-ms");
-not_passed_on!(forged_backup, "kv-backup");
-not_passed_on!(forged_memory, "kv-from");
-not_passed_on!(forged_fetch, "kv-fetch");
-not_passed_on!(forged_instance, "expect-instance");
-not_passed_on!(forged_version, "expect-version");
-not_passed_on!(forged_priority, "priority");
-not_passed_on!(connections_own_te, "te");
+not_forwarded!(forged_tenant, "tenant");
+not_forwarded!(forged_hold, "hold");
+not_forwarded!(forged_pin, "pin-ms");
+not_forwarded!(forged_backup, "kv-backup");
+not_forwarded!(forged_kv_source, "kv-from");
+not_forwarded!(forged_fetch, "kv-fetch");
+not_forwarded!(forged_instance, "expect-instance");
+not_forwarded!(forged_version, "expect-version");
+not_forwarded!(forged_priority, "priority");
+not_forwarded!(hop_by_hop_te, "te");
 
-case!(headers_that_connection_names_are_not_passed_on, async {
+case!(headers_listed_in_connection_are_not_forwarded, async {
     let world = world().await;
     let request = world.request(Method::GET, "/safe/x", "id-1");
     let request = request.header("Connection", "x-mine").header("X-Mine", "hop");
@@ -75,7 +75,7 @@
     assert_eq!(world.upstreams[0].arrivals()[0].header("x-mine"), "");
 });
 
-case!(the_model_is_chosen_only_where_the_caller_leaves_it, async {
+case!(the_model_is_selected_only_where_the_caller_names_none, async {
     let world = World::start(super::world::ENGINE, &[Behaviour::stream(2)]).await;
     send(world.stream("id-1")).await.expect("an answer");
     let named = world.request(Method::POST, "/stream/x", "id-2").header("Model", "middle");
