--- a/tests/all/gateway/callers_of_fleet.rs
+++ b/tests/all/gateway/callers_of_fleet.rs
@@ -30,7 +30,7 @@
 }
 
 /// A response that a caller received.
-pub(super) struct Got {
+pub(super) struct CallerResponse {
     pub(super) id: String,
     pub(super) entry: usize,
     pub(super) sent: Instant,
@@ -39,7 +39,7 @@
     headers: HeaderMap,
 }
 
-impl Got {
+impl CallerResponse {
     /// Whether the response comes from this upstream and has this header.
     fn has_header(&self, upstream: usize, name: &str) -> bool {
         let instance = self.headers.get(UPSTREAM).and_then(|value| value.to_str().ok());
@@ -48,13 +48,17 @@
 }
 
 /// The distinct statuses of responses, in order.
-pub(super) fn statuses(got: &[Got]) -> Vec<u16> {
+pub(super) fn statuses(got: &[CallerResponse]) -> Vec<u16> {
     let statuses: BTreeSet<u16> = got.iter().map(|got| got.status).collect();
     statuses.into_iter().collect()
 }
 
 /// When each gateway first forwarded a response of this upstream with this header.
-pub(super) fn first_told(got: &[Got], upstream: usize, name: &str) -> HashMap<usize, Instant> {
+pub(super) fn first_reported(
+    got: &[CallerResponse],
+    upstream: usize,
+    name: &str,
+) -> HashMap<usize, Instant> {
     let mut first_times = HashMap::new();
     for got in got.iter().filter(|got| got.has_header(upstream, name)) {
         let first = first_times.entry(got.entry).or_insert(got.at);
@@ -106,20 +110,20 @@
     }
 
     /// Sends requests to one gateway, one after the other, until `end`.
-    pub(super) async fn ask_until(&self, entry: usize, end: Instant) -> Vec<Got> {
+    pub(super) async fn ask_until(&self, entry: usize, end: Instant) -> Vec<CallerResponse> {
         let mut got = Vec::new();
         while Instant::now() < end {
             let (id, request) = self.request(entry);
             let sent = Instant::now();
             let answer = request.send().await.expect("an answer");
             let (status, headers) = (answer.status().as_u16(), answer.headers().clone());
-            got.push(Got { id, entry, sent, at: Instant::now(), status, headers });
+            got.push(CallerResponse { id, entry, sent, at: Instant::now(), status, headers });
         }
         got
     }
 
     /// Runs `callers` concurrent callers of each gateway until `end`.
-    pub(super) async fn ask_all_until(&self, callers: usize, end: Instant) -> Vec<Got> {
+    pub(super) async fn ask_all_until(&self, callers: usize, end: Instant) -> Vec<CallerResponse> {
         let entries = (0..self.fleet.entries.len()).flat_map(|n| std::iter::repeat_n(n, callers));
         let got = join_all(entries.map(|entry| self.ask_until(entry, end))).await;
         got.into_iter().flatten().collect()
--- a/tests/all/gateway/named_limits.rs
+++ b/tests/all/gateway/named_limits.rs
@@ -18,11 +18,11 @@
 use serde_json::json;
 use stallhoist_standins::users_platform::Behaviour;
 
-use super::callers_of_fleet::Got;
+use super::callers_of_fleet::CallerResponse;
 use super::callers_of_fleet::WORK;
 use super::callers_of_fleet::World;
 use super::callers_of_fleet::entry_of;
-use super::callers_of_fleet::first_told;
+use super::callers_of_fleet::first_reported;
 use super::callers_of_fleet::statuses;
 use super::world::KEY;
 use super::world::PLAIN;
@@ -48,8 +48,8 @@
 
 impl World {
     /// The most requests in a window that count against the bound.
-    fn most_in_window(&self, upstream: usize, named: Instant, got: &[Got]) -> usize {
-        let told = first_told(got, upstream, SERVER_LIMIT);
+    fn most_in_window(&self, upstream: usize, named: Instant, got: &[CallerResponse]) -> usize {
+        let told = first_reported(got, upstream, SERVER_LIMIT);
         let counts = |entry: usize, at: Instant| {
             told.get(&entry).is_some_and(|told| at >= *told + TOLD_BEFORE)
         };
--- a/tests/all/gateway/upstreams_that_leave.rs
+++ b/tests/all/gateway/upstreams_that_leave.rs
@@ -16,10 +16,10 @@
 use stallhoist_standins::users_platform::Behaviour;
 use stallhoist_standins::users_platform::UpstreamStandin;
 
-use super::callers_of_fleet::Got;
+use super::callers_of_fleet::CallerResponse;
 use super::callers_of_fleet::WORK;
 use super::callers_of_fleet::World;
-use super::callers_of_fleet::first_told;
+use super::callers_of_fleet::first_reported;
 use super::callers_of_fleet::statuses;
 use super::world::PLAIN;
 use crate::case::case;
@@ -36,10 +36,11 @@
 
 impl World {
     /// How many requests reached an upstream too late.
-    fn too_late(&self, upstream: usize, got: &[Got]) -> usize {
-        let told = first_told(got, upstream, SERVER_LEAVING);
-        let is_late =
-            |got: &&Got| told.get(&got.entry).is_some_and(|told| got.sent > *told + TAKES_FOR);
+    fn too_late(&self, upstream: usize, got: &[CallerResponse]) -> usize {
+        let told = first_reported(got, upstream, SERVER_LEAVING);
+        let is_late = |got: &&CallerResponse| {
+            told.get(&got.entry).is_some_and(|told| got.sent > *told + TAKES_FOR)
+        };
         let late: Vec<&str> = got.iter().filter(is_late).map(|got| got.id.as_str()).collect();
         let arrivals = self.upstreams[upstream].arrivals();
         arrivals.iter().filter(|arrival| late.contains(&arrival.header("request-id"))).count()
