--- a/crates/gateway/src/request/attempt.rs
+++ b/crates/gateway/src/request/attempt.rs
@@ -106,7 +106,7 @@
             }
         };
         let outgoing = self.outgoing();
-        let response = self.receive_response(connection, outgoing, work);
+        let response = self.send_and_receive(connection, outgoing, work);
         let response = tokio::time::timeout(self.wait_limit, response);
         let mut response = std::pin::pin!(response);
         let mut is_overdue = false;
@@ -195,7 +195,7 @@
         }
     }
 
-    async fn receive_response(
+    async fn send_and_receive(
         &self,
         connection: Connection,
         outgoing: Outgoing,
--- a/crates/gateway/src/request/call.rs
+++ b/crates/gateway/src/request/call.rs
@@ -58,7 +58,8 @@
         head.session.as_deref().map(SessionKey::of)
     }
 
-    /// A model's prefill time per token relative to the slowest model's, used until it has responded.
+    /// A model's prefill time per token relative to the slowest model's, derived from the configured costs. It
+    /// counts until the model has responded.
     pub(crate) fn relative_prefill_time(&self, model: Option<&ModelName>) -> f64 {
         let known = self.service.as_ref().zip(model);
         known.map_or(1.0, |(service, model)| service.relative_prefill_time(model))
--- a/crates/policy/src/balance/prefill_speeds.rs
+++ b/crates/policy/src/balance/prefill_speeds.rs
@@ -87,8 +87,8 @@
 }
 
 impl PrefillSpeeds {
-    /// Estimate for a model. `relative_prefill_time` is the model's configured time per token relative to the
-    /// slowest model's; it counts until the model has responded.
+    /// Estimate for a model. `relative_prefill_time` is the model's time per token relative to the slowest
+    /// model's, as derived from the configuration; it counts until the model has responded.
     pub fn time(
         &self,
         service: &ServiceName,
--- a/tests/all/gateway/callers_of_fleet.rs
+++ b/tests/all/gateway/callers_of_fleet.rs
@@ -48,21 +48,21 @@
 }
 
 /// The distinct statuses of responses, in order.
-pub(super) fn statuses(got: &[CallerResponse]) -> Vec<u16> {
-    let statuses: BTreeSet<u16> = got.iter().map(|got| got.status).collect();
+pub(super) fn statuses(responses: &[CallerResponse]) -> Vec<u16> {
+    let statuses: BTreeSet<u16> = responses.iter().map(|response| response.status).collect();
     statuses.into_iter().collect()
 }
 
 /// When each gateway first forwarded a response of this upstream with this header.
 pub(super) fn first_reported(
-    got: &[CallerResponse],
+    responses: &[CallerResponse],
     upstream: usize,
     name: &str,
 ) -> HashMap<usize, Instant> {
     let mut first_times = HashMap::new();
-    for got in got.iter().filter(|got| got.has_header(upstream, name)) {
-        let first = first_times.entry(got.entry).or_insert(got.at);
-        *first = got.at.min(*first);
+    for response in responses.iter().filter(|response| response.has_header(upstream, name)) {
+        let first = first_times.entry(response.entry).or_insert(response.at);
+        *first = response.at.min(*first);
     }
     first_times
 }
@@ -111,21 +111,21 @@
 
     /// Sends requests to one gateway, one after the other, until `end`.
     pub(super) async fn ask_until(&self, entry: usize, end: Instant) -> Vec<CallerResponse> {
-        let mut got = Vec::new();
+        let mut responses = Vec::new();
         while Instant::now() < end {
             let (id, request) = self.request(entry);
             let sent = Instant::now();
             let answer = request.send().await.expect("an answer");
             let (status, headers) = (answer.status().as_u16(), answer.headers().clone());
-            got.push(CallerResponse { id, entry, sent, at: Instant::now(), status, headers });
+            responses.push(CallerResponse { id, entry, sent, at: Instant::now(), status, headers });
         }
-        got
+        responses
     }
 
     /// Runs `callers` concurrent callers of each gateway until `end`.
     pub(super) async fn ask_all_until(&self, callers: usize, end: Instant) -> Vec<CallerResponse> {
         let entries = (0..self.fleet.entries.len()).flat_map(|n| std::iter::repeat_n(n, callers));
-        let got = join_all(entries.map(|entry| self.ask_until(entry, end))).await;
-        got.into_iter().flatten().collect()
+        let responses = join_all(entries.map(|entry| self.ask_until(entry, end))).await;
+        responses.into_iter().flatten().collect()
     }
 }
