--- a/tests/all/gateway/draining_upstreams.rs
+++ b/tests/all/gateway/draining_upstreams.rs
@@ -13,10 +13,10 @@
 use stallhoist_standins::users_platform::Behaviour;
 use stallhoist_standins::users_platform::UpstreamStandin;
 
-use super::callers_of_fleet::Got;
+use super::callers_of_fleet::CallerResponse;
 use super::callers_of_fleet::WORK;
 use super::callers_of_fleet::World;
-use super::callers_of_fleet::first_told;
+use super::callers_of_fleet::first_reported;
 use super::callers_of_fleet::statuses;
 use super::world::PLAIN;
 use crate::case::case;
@@ -33,10 +33,10 @@
 
 impl World {
     /// Number of requests that reached an upstream too late.
-    fn too_late(&self, upstream: usize, got: &[Got]) -> usize {
-        let announced = first_told(got, upstream, SERVER_LEAVING);
+    fn too_late(&self, upstream: usize, got: &[CallerResponse]) -> usize {
+        let announced = first_reported(got, upstream, SERVER_LEAVING);
         let is_late =
-            |got: &&Got| announced.get(&got.entry).is_some_and(|at| got.sent > *at + GRACE_PERIOD);
+            |got: &&CallerResponse| announced.get(&got.entry).is_some_and(|at| got.sent > *at + GRACE_PERIOD);
         let late: Vec<&str> = got.iter().filter(is_late).map(|got| got.id.as_str()).collect();
         let arrivals = self.upstreams[upstream].arrivals();
         arrivals.iter().filter(|arrival| late.contains(&arrival.header("request-id"))).count()
--- a/tests/all/gateway/named_limits.rs
+++ b/tests/all/gateway/named_limits.rs
@@ -14,11 +14,11 @@
 use serde_json::json;
 use stallhoist_standins::users_platform::Behaviour;
 
-use super::callers_of_fleet::Got;
+use super::callers_of_fleet::CallerResponse;
 use super::callers_of_fleet::WORK;
 use super::callers_of_fleet::World;
 use super::callers_of_fleet::entry_of;
-use super::callers_of_fleet::first_told;
+use super::callers_of_fleet::first_reported;
 use super::callers_of_fleet::statuses;
 use super::world::KEY;
 use super::world::PLAIN;
@@ -44,8 +44,8 @@
 
 impl World {
     /// The most requests in a window that count against the bound.
-    fn most_in_window(&self, upstream: usize, reported: Instant, got: &[Got]) -> usize {
-        let received = first_told(got, upstream, SERVER_LIMIT);
+    fn most_in_window(&self, upstream: usize, reported: Instant, got: &[CallerResponse]) -> usize {
+        let received = first_reported(got, upstream, SERVER_LIMIT);
         let counts = |entry: usize, at: Instant| {
             received.get(&entry).is_some_and(|received| at >= *received + REPORTED_BEFORE)
         };
