--- a/tests/all/gateway/draining_upstreams.rs
+++ b/tests/all/gateway/draining_upstreams.rs
@@ -35,8 +35,9 @@
     /// Number of requests that reached an upstream too late.
     fn too_late(&self, upstream: usize, got: &[CallerResponse]) -> usize {
         let announced = first_reported(got, upstream, SERVER_LEAVING);
-        let is_late =
-            |got: &&CallerResponse| announced.get(&got.entry).is_some_and(|at| got.sent > *at + GRACE_PERIOD);
+        let is_late = |got: &&CallerResponse| {
+            announced.get(&got.entry).is_some_and(|at| got.sent > *at + GRACE_PERIOD)
+        };
         let late: Vec<&str> = got.iter().filter(is_late).map(|got| got.id.as_str()).collect();
         let arrivals = self.upstreams[upstream].arrivals();
         arrivals.iter().filter(|arrival| late.contains(&arrival.header("request-id"))).count()
