--- a/crates/gateway/src/members/directory.rs
+++ b/crates/gateway/src/members/directory.rs
@@ -146,11 +146,11 @@
     }
 
     /// Records that an incarnation has announced in a response that it is draining. No row revokes that.
-    pub fn record_draining(&mut self, now: MonoTime, start: &UpstreamIncarnation) {
-        let report = self.drain_reports.entry(start.clone());
+    pub fn record_draining(&mut self, now: MonoTime, incarnation: &UpstreamIncarnation) {
+        let report = self.drain_reports.entry(incarnation.clone());
         report.or_insert(DrainReport { since: now, last: now }).last = now;
-        if self.is_known(start) {
-            self.mark_leaving(now, &start.instance);
+        if self.is_known(incarnation) {
+            self.mark_leaving(now, &incarnation.instance);
         }
     }
 
@@ -238,19 +238,19 @@
     }
 
     /// Whether an incarnation is known.
-    pub fn is_known(&self, start: &UpstreamIncarnation) -> bool {
-        self.member(start).is_some()
+    pub fn is_known(&self, incarnation: &UpstreamIncarnation) -> bool {
+        self.member(incarnation).is_some()
     }
 
     /// Whether an incarnation has announced its end, in its row or in a response.
-    pub fn has_announced(&self, start: &UpstreamIncarnation) -> bool {
-        self.drain_reports.contains_key(start) || self.history.has_announced(start)
+    pub fn has_announced(&self, incarnation: &UpstreamIncarnation) -> bool {
+        self.drain_reports.contains_key(incarnation) || self.history.has_announced(incarnation)
     }
 
     /// The row of an incarnation, if it is known.
-    pub fn member(&self, start: &UpstreamIncarnation) -> Option<&Member> {
-        let known = self.known.get(&start.instance).map(|known| &known.member);
-        known.filter(|member| member.start == *start)
+    pub fn member(&self, incarnation: &UpstreamIncarnation) -> Option<&Member> {
+        let known = self.known.get(&incarnation.instance).map(|known| &known.member);
+        known.filter(|member| member.start == *incarnation)
     }
 
     /// Number of known upstreams.
--- a/crates/gateway/src/members/incarnation_history.rs
+++ b/crates/gateway/src/members/incarnation_history.rs
@@ -76,8 +76,8 @@
     }
 
     /// Whether the row of an incarnation has announced its end.
-    pub(super) fn has_announced(&self, start: &UpstreamIncarnation) -> bool {
-        let seen = self.latest.get(&start.instance).filter(|seen| seen.start == *start);
+    pub(super) fn has_announced(&self, incarnation: &UpstreamIncarnation) -> bool {
+        let seen = self.latest.get(&incarnation.instance).filter(|seen| seen.start == *incarnation);
         seen.is_some_and(|seen| seen.has_announced)
     }
 
--- a/crates/gateway/src/upstreams/choice.rs
+++ b/crates/gateway/src/upstreams/choice.rs
@@ -189,23 +189,23 @@
 
     fn facts(&self, member: &Member, has_affinity: bool) -> CandidateFacts {
         let Self { state, now, placement, .. } = *self;
-        let start = &member.start;
+        let incarnation = &member.start;
         let read_tokens = match (placement.model, placement.prompt) {
             (Some(model), Some(prompt)) => {
                 let shared = prompt.shared_parts();
-                let cached = state.prefix_caches.read_tokens(now, start, model, shared);
+                let cached = state.prefix_caches.read_tokens(now, incarnation, model, shared);
                 if has_affinity { cached.max(likely_cached_tokens(shared)) } else { cached }
             }
             _ => 0,
         };
-        let work = state.work_on(now, start);
+        let work = state.work_on(now, incarnation);
         CandidateFacts {
             in_progress: work.in_progress,
             slots: member.slots,
             remaining_prefill_ms: work.remaining_prefill_ms,
             read_tokens,
             is_same_zone: member.zone == *self.local_zone,
-            failure_rate: state.health.failure_rate(now, start),
+            failure_rate: state.health.failure_rate(now, incarnation),
         }
     }
 }
--- a/crates/gateway/src/upstreams/cold.rs
+++ b/crates/gateway/src/upstreams/cold.rs
@@ -60,20 +60,22 @@
     /// Drops upstreams that have warmed up. Keeps those that are not listed, as their row may be deferred
     /// for a while, and those whose service is not configured yet.
     fn forget_warm(&mut self, now: MonoTime) {
-        let is_warm = |start: &&UpstreamIncarnation| {
-            self.directory.member(start).is_some_and(|member| {
+        let is_warm = |incarnation: &&UpstreamIncarnation| {
+            self.directory.member(incarnation).is_some_and(|member| {
                 self.cold_services.contains_key(&member.service)
                     && self.cold_place(now, member) == SendQuota::Unbounded
             })
         };
         let warm: HashSet<UpstreamIncarnation> =
             self.cold.incarnations().filter(is_warm).cloned().collect();
-        self.cold.retain(|start| !warm.contains(start));
+        self.cold.retain(|incarnation| !warm.contains(incarnation));
     }
 
     fn count_cold(&self) -> BTreeMap<ServiceName, usize> {
         let mut counts = BTreeMap::new();
-        for member in self.cold.incarnations().filter_map(|start| self.directory.member(start)) {
+        for member in
+            self.cold.incarnations().filter_map(|incarnation| self.directory.member(incarnation))
+        {
             *counts.entry(member.service.clone()).or_default() += 1;
         }
         counts
--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -139,11 +139,11 @@
         self.cold_place(now, member).and(limit).and(backoff)
     }
 
-    fn work_on(&self, now: MonoTime, start: &UpstreamIncarnation) -> KnownWork {
-        let others = self.fleet_work.on(UpstreamKey::of(start));
+    fn work_on(&self, now: MonoTime, incarnation: &UpstreamIncarnation) -> KnownWork {
+        let others = self.fleet_work.on(UpstreamKey::of(incarnation));
         KnownWork {
-            in_progress: self.load.in_progress(now, start, others.requests),
-            remaining_prefill_ms: self.load.remaining_prefill_ms(start)
+            in_progress: self.load.in_progress(now, incarnation, others.requests),
+            remaining_prefill_ms: self.load.remaining_prefill_ms(incarnation)
                 + f64::from(others.reading_ms),
         }
     }
@@ -225,10 +225,10 @@
         limits.expire(now);
         backoffs.expire(now);
         if directory.expire(now) {
-            load.retain(|start| directory.is_known(start));
-            health.retain(|start| directory.is_known(start));
-            prefix_caches.retain(|start| directory.is_known(start));
-            cold.retain(|start| directory.is_known(start));
+            load.retain(|incarnation| directory.is_known(incarnation));
+            health.retain(|incarnation| directory.is_known(incarnation));
+            prefix_caches.retain(|incarnation| directory.is_known(incarnation));
+            cold.retain(|incarnation| directory.is_known(incarnation));
         }
     }
 
@@ -275,8 +275,8 @@
     /// Counts work sent to an upstream until the guard is dropped.
     pub(crate) fn start(self: &Arc<Self>, chosen: &Chosen) -> WorkGuard {
         self.state.lock().load.started(&chosen.start, chosen.work);
-        let start = chosen.start.clone();
-        WorkGuard { upstreams: Arc::clone(self), start, prefill: chosen.work }
+        let incarnation = chosen.start.clone();
+        WorkGuard { upstreams: Arc::clone(self), start: incarnation, prefill: chosen.work }
     }
 
     /// Updates the health of an incarnation by a signal. Returns whether that shows its termination for
@@ -284,30 +284,30 @@
     pub(crate) fn observe(
         &self,
         now: MonoTime,
-        start: &UpstreamIncarnation,
+        incarnation: &UpstreamIncarnation,
         evidence: Evidence,
     ) -> bool {
         let mut state = self.state.lock();
-        let before = state.health.fitness(now, start);
-        state.health.observe(now, start, evidence);
-        let after = state.health.fitness(now, start);
+        let before = state.health.fitness(now, incarnation);
+        state.health.observe(now, incarnation, evidence);
+        let after = state.health.fitness(now, incarnation);
         drop(state);
         let is_newly_terminated = before < Fitness::Over && after == Fitness::Over;
         if is_newly_terminated {
-            log::info!(start:% = start, evidence:? = evidence; "this start of an upstream is over");
+            log::info!(start:% = incarnation, evidence:? = evidence; "this start of an upstream is over");
             self.termination_found.notify_one();
         }
         is_newly_terminated
     }
 
     /// Whether an incarnation has announced its end.
-    pub(crate) fn has_announced(&self, start: &UpstreamIncarnation) -> bool {
-        self.state.lock().directory.has_announced(start)
+    pub(crate) fn has_announced(&self, incarnation: &UpstreamIncarnation) -> bool {
+        self.state.lock().directory.has_announced(incarnation)
     }
 
     /// Whether an incarnation is known to have terminated.
-    pub(crate) fn is_terminated(&self, now: MonoTime, start: &UpstreamIncarnation) -> bool {
-        self.state.lock().health.fitness(now, start) == Fitness::Over
+    pub(crate) fn is_terminated(&self, now: MonoTime, incarnation: &UpstreamIncarnation) -> bool {
+        self.state.lock().health.fitness(now, incarnation) == Fitness::Over
     }
 
     /// Waits until the termination of an incarnation is detected.
@@ -316,8 +316,8 @@
     }
 
     /// Number of requests in progress at an upstream, as far as this gateway knows.
-    pub(crate) fn in_progress(&self, now: MonoTime, start: &UpstreamIncarnation) -> u32 {
-        self.state.lock().work_on(now, start).in_progress
+    pub(crate) fn in_progress(&self, now: MonoTime, incarnation: &UpstreamIncarnation) -> u32 {
+        self.state.lock().work_on(now, incarnation).in_progress
     }
 
     /// The expected time to the first chunk of a response already requested, given the other work that the
@@ -338,11 +338,11 @@
     pub(crate) fn prefill_finished(
         &self,
         now: MonoTime,
-        start: &UpstreamIncarnation,
+        incarnation: &UpstreamIncarnation,
         model: &ModelName,
         prompt: &Prompt,
     ) {
-        self.state.lock().prefix_caches.read(now, start, model, prompt.shared_parts());
+        self.state.lock().prefix_caches.read(now, incarnation, model, prompt.shared_parts());
     }
 
     /// Learns the prefill speed of a model from the time to the first chunk of a response.
--- a/crates/gateway/src/upstreams/peer_updates.rs
+++ b/crates/gateway/src/upstreams/peer_updates.rs
@@ -20,7 +20,7 @@
     pub(crate) fn health_updates(&self, now: MonoTime) -> Vec<(UpstreamKey, HealthUpdate)> {
         let state = self.state.lock();
         let peer_updates = state.health.peer_updates(now);
-        peer_updates.map(|(start, update)| (UpstreamKey::of(start), update)).collect()
+        peer_updates.map(|(incarnation, update)| (UpstreamKey::of(incarnation), update)).collect()
     }
 
     /// Merges health updates from a peer. Returns the incarnations that they show to have terminated.
@@ -35,12 +35,12 @@
         }
         let UpstreamsState { directory, health, .. } = &mut *self.state.lock();
         for (member, _) in directory.iter() {
-            let start = &member.start;
-            if let Some(update) = updates.get(&UpstreamKey::of(start)) {
-                let before = health.fitness(now, start);
-                health.apply_peer_update(now, start, *update);
-                if before < Fitness::Over && health.fitness(now, start) == Fitness::Over {
-                    terminated.push(start.clone());
+            let incarnation = &member.start;
+            if let Some(update) = updates.get(&UpstreamKey::of(incarnation)) {
+                let before = health.fitness(now, incarnation);
+                health.apply_peer_update(now, incarnation, *update);
+                if before < Fitness::Over && health.fitness(now, incarnation) == Fitness::Over {
+                    terminated.push(incarnation.clone());
                 }
             }
         }
--- a/crates/gateway/src/upstreams/reports.rs
+++ b/crates/gateway/src/upstreams/reports.rs
@@ -13,24 +13,25 @@
     pub(crate) fn record_report(
         &self,
         now: MonoTime,
-        start: &UpstreamIncarnation,
+        incarnation: &UpstreamIncarnation,
         sent: MonoTime,
         upstream_report: &UpstreamReport,
     ) -> bool {
         let mut state = self.state.lock();
         if let Some(load) = upstream_report.load {
-            state.load.reported(now, start, load);
+            state.load.reported(now, incarnation, load);
         }
         if let Some(cold) = upstream_report.cold {
-            state.cold.record_report(now, start, ReportedCold::For(cold));
+            state.cold.record_report(now, incarnation, ReportedCold::For(cold));
         }
         if upstream_report.is_leaving {
-            state.directory.record_draining(now, start);
+            state.directory.record_draining(now, incarnation);
         }
         if let Some(rest) = upstream_report.rest {
-            state.backoffs.record(now, start, rest);
+            state.backoffs.record(now, incarnation, rest);
         }
-        let has_limit_changed = state.limits.record_report(now, start, sent, upstream_report.limit);
+        let has_limit_changed =
+            state.limits.record_report(now, incarnation, sent, upstream_report.limit);
         drop(state);
         if has_limit_changed {
             self.changed.notify_waiters();
