--- a/crates/gateway/src/rollouts/baseline_update.rs
+++ b/crates/gateway/src/rollouts/baseline_update.rs
@@ -1,4 +1,4 @@
-//! A usual time, as entries tell each other.
+//! A baseline latency, as gateways exchange it.
 
 use std::fmt;
 
@@ -7,16 +7,16 @@
 use stallhoist_policy::rollout::BaselineLatency;
 use stallhoist_policy::rollout::RequestKind;
 
-/// A usual time of the version that is in force while a roll-out runs.
+/// A baseline latency of the active version during a rollout.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BaselineUpdate {
     /// The service.
     pub service: ServiceName,
-    /// The version of the order's row: times of another roll-out are of another version.
+    /// The row version of the order: baselines of another rollout are of another version.
     pub order_version: StoreVersion,
-    /// The requests that it is the usual time of.
+    /// The requests that the baseline applies to.
     pub kind: RequestKind,
-    /// The time, and the load.
+    /// The baseline and its load.
     pub known: BaselineLatency,
 }
 
--- a/crates/gateway/src/rollouts/decision.rs
+++ b/crates/gateway/src/rollouts/decision.rs
@@ -1,24 +1,24 @@
-//! What an entry knows of the end of a roll-out.
+//! The outcome of a rollout.
 
 use stallhoist_core::ServiceName;
 use stallhoist_core::StoreVersion;
 
-/// How a roll-out ends.
+/// The outcome of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutOutcome {
     /// The new version was found bad; this may not be recorded yet.
     Bad,
-    /// It is recorded as completed: the old version is being stopped.
+    /// It is recorded as completed; the old version is being stopped.
     Completed,
 }
 
-/// What an entry knows of the end of a roll-out.
+/// The known outcome of a rollout.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutDecision {
     /// The service.
     pub service: ServiceName,
-    /// The version of the order's row: a verdict on another order is of no use.
+    /// The row version of the order: a decision on another order does not apply.
     pub order_version: StoreVersion,
-    /// How it ends.
+    /// The outcome.
     pub outcome: RolloutOutcome,
 }
--- a/crates/gateway/src/rollouts/mod.rs
+++ b/crates/gateway/src/rollouts/mod.rs
@@ -1,4 +1,8 @@
-//! Roll-outs: which version a request goes to, and the task that takes the next step.
+//! Rollouts: chooses the version that a request goes to, and stores the steps of a rollout.
+//!
+//! `state` holds the rollouts of all services and `service_rollout` that of one; `order_and_record`
+//! relates the order to the stored record, and `version_rule` is the resulting choice. The tasks are
+//! `step_writer` and `watch`.
 
 mod baseline_update;
 mod decision;
--- a/crates/gateway/src/rollouts/service_rollout.rs
+++ b/crates/gateway/src/rollouts/service_rollout.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the roll-out of one service.
+//! The state of the rollout of one service at this gateway.
 
 use std::collections::HashMap;
 
@@ -29,25 +29,25 @@
 use crate::control_store::RolloutOrder;
 use crate::control_store::StoredRollout;
 
-/// What an entry knows of the roll-out of one service.
+/// The state of the rollout of one service at this gateway.
 #[derive(Debug, Default)]
 pub(super) struct ServiceRollout {
     pub(super) known: OrderAndRecord,
     pub(super) evidence: RolloutEvidence,
-    /// What other entries had counted when they last told.
+    /// The counts that each peer sent last.
     pub(super) peers: HashMap<HostId, EvidenceTotals>,
-    /// This entry has seen enough of the target of the record to call it bad.
+    /// Whether the target of the record was found bad, here or by a peer.
     is_found_bad: bool,
-    /// Another entry has told the old version's usual times.
-    has_told_times: bool,
-    /// Another entry has read that the order is completed.
-    is_told_completed: bool,
-    /// The evidence is of the target, which has become the version in force.
+    /// Whether a peer has sent baselines of the old version.
+    has_peer_baselines: bool,
+    /// Whether a peer has read that the order is completed.
+    is_completed_at_peer: bool,
+    /// Whether the evidence is of the target as the active version.
     has_adopted_target: bool,
 }
 
 impl ServiceRollout {
-    /// The record, if it answers the newest order.
+    /// The record, if it belongs to the newest order.
     pub(super) fn current(&self) -> Option<&StoredRollout> {
         self.known.current()
     }
@@ -58,12 +58,12 @@
 
     fn is_completed(&self) -> bool {
         let is_completed = |stored: &StoredRollout| stored.record.phase == RolloutPhase::Completed;
-        self.is_told_completed || self.current().is_some_and(is_completed)
+        self.is_completed_at_peer || self.current().is_some_and(is_completed)
     }
 
-    /// A new order: what is known of the version in force is kept, also from before the order.
-    /// The new version is compared with it at once, at whatever load it was seen.
-    fn forget_new_version(&mut self, was_completed: bool) {
+    /// Resets the evidence for a new order. Baselines of the active version are kept, also those from
+    /// before the order, so that the new version is compared with them at once, at any observed load.
+    fn reset_new_version(&mut self, was_completed: bool) {
         let evidence = std::mem::take(&mut self.evidence);
         if !was_completed || self.has_adopted_target {
             self.evidence = evidence.for_next_order();
@@ -71,7 +71,7 @@
         self.has_adopted_target = false;
     }
 
-    /// An attempt on an upstream of a version ended.
+    /// Records the result of an attempt on an upstream of a version.
     pub(super) fn observe(
         &mut self,
         service: &ServiceName,
@@ -91,10 +91,10 @@
             // The version that is being stopped.
             (false, true) => {}
         }
-        self.judge(service);
+        self.decide(service);
     }
 
-    /// The new version has become the one in force: the next one is compared with its times.
+    /// Makes the new version the active one, with which the next one is compared.
     fn adopt_target(&mut self) {
         if !self.has_adopted_target {
             self.has_adopted_target = true;
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Calls the new version bad if the evidence says so.
-    fn judge(&mut self, service: &ServiceName) {
+    /// Marks the new version as bad if the evidence is sufficient.
+    fn decide(&mut self, service: &ServiceName) {
         if self.is_found_bad || !self.is_running() || !self.evidence.is_bad() {
             return;
         }
@@ -120,36 +120,36 @@
         );
     }
 
-    /// An operator's order was read. After the store has come back from a copy, the one that is known may
-    /// be read again, from another row.
+    /// Applies an operator's order that was read. After the store was restored from a copy, the known
+    /// order may be read again from another row.
     pub(super) fn apply_order(&mut self, order: RolloutOrder) {
         let is_completed = self.is_completed();
-        if self.known.order_is(order) {
-            self.forget_new_version(is_completed);
+        if self.known.set_order(order) {
+            self.reset_new_version(is_completed);
             self.peers.clear();
             self.is_found_bad = false;
-            self.has_told_times = false;
-            self.is_told_completed = false;
+            self.has_peer_baselines = false;
+            self.is_completed_at_peer = false;
         }
     }
 
-    /// A record was read. Older ones than what is known change nothing.
+    /// Applies a record that was read. Records older than the known one are ignored.
     pub(super) fn stored(&mut self, stored: StoredRollout) {
-        self.known.record_is(stored);
+        self.known.set_record(stored);
     }
 
-    /// All records were read at a version, and this one is not there.
-    pub(super) fn not_recorded(&mut self, version: StoreVersion) {
-        self.known.no_record_is_there(version);
+    /// Applies a complete read of the records at a version, without one for this service.
+    pub(super) fn record_missing(&mut self, version: StoreVersion) {
+        self.known.set_record_missing(version);
     }
 
-    /// Whether another entry tells of the same order. It tells the number alone: the same order has another
-    /// one once it is written again.
-    fn is_of_order(&self, told: StoreVersion) -> bool {
-        self.known.order_version().is_some_and(|own| own.number == told.number)
+    /// Whether a peer's update is on the known order. Compares the number alone, as the same order has
+    /// another row version once it is written again.
+    fn is_for_order(&self, peer_version: StoreVersion) -> bool {
+        self.known.order_version().is_some_and(|local| local.number == peer_version.number)
     }
 
-    /// Which versions a request goes to. `now_ms` is the store's clock.
+    /// The versions that a request may go to. `now_ms` is the store's clock.
     pub(super) fn rule(
         &self,
         config: &RolloutConfig,
@@ -158,10 +158,10 @@
         session_version: Option<&VersionName>,
     ) -> VersionRule {
         let Some(stored) = self.current() else {
-            // An order whose record is not known: the new version gets work only when it is
-            // all there is, as after a roll-out that was completed before this process began.
+            // The record of the order is not known: the new version is used only if there is no other,
+            // as after a rollout that was completed before this process began.
             return match self.known.order() {
-                Some(order) => VersionRule::first_except(&order.target),
+                Some(order) => VersionRule::prefer_except(&order.target),
                 None => VersionRule::any(),
             };
         };
@@ -169,9 +169,9 @@
         if record.phase == RolloutPhase::RolledBack {
             return VersionRule::except(&record.target);
         }
-        // Goes before what this entry has found: the old version is being stopped.
+        // Takes precedence over a local finding: the old version is being stopped.
         if self.is_completed() {
-            return VersionRule::first_only(&record.target);
+            return VersionRule::prefer_only(&record.target);
         }
         if self.is_found_bad {
             return VersionRule::except(&record.target);
@@ -179,27 +179,27 @@
         let share = new_version_share(config, record, now_ms);
         let is_new = match session_version {
             Some(version) if *version == record.target => true,
-            // Until everything moves over, a session stays on the old version.
+            // Until everything moves, a session stays on the old version.
             Some(_) if record.phase == RolloutPhase::Canary => false,
             _ => unit < share,
         };
         if is_new {
-            VersionRule::only_or_except(&record.target)
+            VersionRule::prefer_then_except(&record.target)
         } else {
             let control = self.control(record, share, unit);
             VersionRule { control, ..VersionRule::except(&record.target) }
         }
     }
 
-    /// Whether one upstream of the old version rests, as nothing is known yet that the new one's
-    /// times could be compared with.
+    /// The control rule, if there is no baseline that the new version's token intervals could be
+    /// compared with.
     fn control(&self, record: &RolloutRecord, share: f64, unit: f64) -> Option<ControlRule> {
         let is_needed = record.phase == RolloutPhase::Canary && self.evidence.needs_control();
         let target = record.target.clone();
         is_needed.then_some(ControlRule { target, canary_share: share, place: unit - share })
     }
 
-    /// Another entry tells what it has counted in all so far, since an order.
+    /// Merges the total counts of a peer since an order.
     pub(super) fn apply_peer_evidence(
         &mut self,
         host: HostId,
@@ -207,42 +207,42 @@
         order_version: StoreVersion,
         totals: EvidenceTotals,
     ) {
-        if !self.is_of_order(order_version) {
+        if !self.is_for_order(order_version) {
             return;
         }
         let earlier = self.peers.insert(host, totals).unwrap_or_default();
         self.evidence.add_peer_counts(totals.since(earlier));
-        self.judge(service);
+        self.decide(service);
     }
 
-    /// Whether the old version's usual times are to be asked of another entry.
+    /// Whether a peer should be asked for the old version's baselines.
     pub(super) fn needs_baselines(&self) -> bool {
-        self.is_running() && !self.has_told_times
+        self.is_running() && !self.has_peer_baselines
     }
 
-    /// The old version's usual times, while a roll-out is under way.
+    /// The old version's baselines during a rollout.
     pub(super) fn baseline_updates(&self) -> Vec<BaselineUpdate> {
         let Some(order) = self.known.order().filter(|_| self.is_running()) else {
             return Vec::new();
         };
-        let told = |(kind, known): (&RequestKind, BaselineLatency)| BaselineUpdate {
+        let to_update = |(kind, known): (&RequestKind, BaselineLatency)| BaselineUpdate {
             service: order.service.clone(),
             order_version: order.row_version,
             kind: kind.clone(),
             known,
         };
-        self.evidence.baseline_updates().map(told).collect()
+        self.evidence.baseline_updates().map(to_update).collect()
     }
 
-    /// Another entry tells a usual time.
+    /// Merges a baseline from a peer.
     pub(super) fn apply_baseline_update(&mut self, time: BaselineUpdate) {
-        if self.is_of_order(time.order_version) {
-            self.has_told_times = true;
+        if self.is_for_order(time.order_version) {
+            self.has_peer_baselines = true;
             self.evidence.apply_baseline_update(time.kind, time.known);
         }
     }
 
-    /// What is known of the end of the roll-out.
+    /// The known outcome of the rollout.
     pub(super) fn decision(&self) -> Option<RolloutDecision> {
         let order = self.known.order()?;
         let outcome = if self.is_completed() {
@@ -256,26 +256,27 @@
         Some(RolloutDecision { service, order_version, outcome })
     }
 
-    /// Another entry knows how the roll-out ends.
+    /// Merges the outcome that a peer knows.
     pub(super) fn apply_peer_update(&mut self, decision: &RolloutDecision) {
-        if !self.is_of_order(decision.order_version) {
+        if !self.is_for_order(decision.order_version) {
             return;
         }
         match decision.outcome {
             RolloutOutcome::Completed if !self.is_completed() => {
-                self.is_told_completed = true;
-                log::info!(service:% = decision.service; "another entry has read that it is completed");
+                self.is_completed_at_peer = true;
+                log::info!(service:% = decision.service; "rollout is completed according to a peer");
             }
             RolloutOutcome::Bad if self.is_running() && !self.is_found_bad => {
                 self.is_found_bad = true;
-                log::warn!(service:% = decision.service; "another entry has found the new version bad");
+                log::warn!(service:% = decision.service; "a peer found the new version bad");
             }
             RolloutOutcome::Bad | RolloutOutcome::Completed => {}
         }
     }
 
-    /// The change to be stored now. `now_ms` is the store's clock; the records were read last in an era:
-    /// where the order is known from a later one, it is not known what the store has.
+    /// The write that is due, if any. `now_ms` is the store's clock; `records_era` is the era in which
+    /// the records were read last. If the order was read in a later era, the store's record is not
+    /// known.
     pub(super) fn due(
         &self,
         config: &RolloutConfig,
@@ -297,7 +298,7 @@
             };
             return Some(RolloutChange { service, expected, record });
         };
-        if self.known.is_to_be_stored_again() {
+        if self.known.needs_rewrite() {
             return Some(RolloutChange { service, expected, record: stored.record.clone() });
         }
         if self.is_completed() {
--- a/crates/gateway/src/rollouts/state.rs
+++ b/crates/gateway/src/rollouts/state.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of roll-outs, without input or output.
+//! The rollouts of all services as known to this gateway; does no input or output.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,52 +26,52 @@
 use crate::control_store::RolloutOrder;
 use crate::control_store::StoredRollout;
 
-/// What an entry knows of roll-outs.
+/// The rollouts of all services as known to this gateway.
 #[derive(Debug, Default)]
 pub struct Rollouts {
     config: RolloutConfig,
     services: BTreeMap<ServiceName, ServiceRollout>,
-    /// The era of the store in which the records were read last.
+    /// The store era in which the records were read last.
     records_era: StoreEra,
-    /// The store's clock less this process's, as last seen, both in milliseconds.
+    /// The store's clock minus this process's clock when it was last read, in milliseconds.
     clock_offset_ms: Option<i64>,
 }
 
 impl Rollouts {
-    /// Nothing is known yet.
+    /// Creates an empty state.
     pub fn new(config: RolloutConfig) -> Self {
         Self { config, ..Self::default() }
     }
 
-    /// The store told its clock.
+    /// Sets the store's clock.
     pub fn set_store_clock(&mut self, now: MonoTime, store_now_ms: u64) {
         self.clock_offset_ms = Some(store_now_ms.cast_signed() - local_ms(now));
     }
 
-    /// An operator's order was read.
+    /// Applies an operator's order that was read.
     pub fn apply_order(&mut self, order: RolloutOrder) {
         self.services.entry(order.service.clone()).or_default().apply_order(order);
     }
 
-    /// A record was read. Older ones than what is known change nothing.
+    /// Applies a record that was read. Records older than the known one are ignored.
     pub fn stored(&mut self, stored: StoredRollout) {
         self.records_era = self.records_era.max(stored.row_version.era);
         self.services.entry(stored.service.clone()).or_default().stored(stored);
     }
 
-    /// The store was read whole at a version, and has records of these services only.
+    /// Applies a complete read of the store at a version: there are records of these services only.
     pub fn retain_recorded(&mut self, version: StoreVersion, recorded: &BTreeSet<ServiceName>) {
         self.records_era = self.records_era.max(version.era);
         let others = self.services.iter_mut().filter(|(service, _)| !recorded.contains(service));
-        others.for_each(|(_, rollout)| rollout.not_recorded(version));
+        others.for_each(|(_, rollout)| rollout.record_missing(version));
     }
 
-    /// Whether an order for a service is known.
+    /// Whether there is an order for a service.
     pub fn has_order(&self, service: &ServiceName) -> bool {
         self.services.get(service).is_some_and(|rollout| rollout.known.order().is_some())
     }
 
-    /// Whether a roll-out is under way.
+    /// Whether a rollout is in progress.
     pub fn is_active(&self) -> bool {
         self.services.values().any(|rollout| {
             rollout.known.order().is_some()
@@ -79,8 +79,8 @@
         })
     }
 
-    /// Which versions a request goes to. `unit` is a number from 0 to 1 that stays with
-    /// the session or the request; `session_version` is what answered the session before.
+    /// The versions that a request may go to. `unit` is a number from 0 to 1 that is fixed for the
+    /// session or the request; `session_version` is the version that last served the session.
     pub fn rule(
         &self,
         now: MonoTime,
@@ -94,7 +94,7 @@
         rollout.rule(&self.config, self.store_now_ms(now), unit, session_version)
     }
 
-    /// An attempt on a service's upstream ended.
+    /// Records the result of an attempt on a service's upstream.
     pub fn observe(
         &mut self,
         service: &ServiceName,
@@ -107,7 +107,7 @@
         rollout.observe(service, version, kind, load, observation);
     }
 
-    /// The time from which on an answer is slow, while a roll-out runs.
+    /// The latency above which a response counts as slow, during a rollout.
     pub fn slow_threshold(
         &self,
         service: &ServiceName,
@@ -118,8 +118,7 @@
         rollout.evidence.slow_threshold(kind, load)
     }
 
-    /// What this entry has counted of the roll-outs that are under way: the service, the
-    /// version of the order's row and the counts.
+    /// The local counts of rollouts in progress: service, row version of the order, and counts.
     pub fn local_evidence(&self) -> Vec<(ServiceName, StoreVersion, EvidenceTotals)> {
         let running = self.services.values().filter(|rollout| rollout.is_running());
         running
@@ -130,8 +129,8 @@
             .collect()
     }
 
-    /// How near the evidence of each roll-out under way is to a verdict, and how many other
-    /// entries have told theirs.
+    /// How close the evidence of each rollout in progress is to a decision, and how many peers have
+    /// sent theirs.
     pub fn statuses(&self) -> Vec<(ServiceName, EvidenceStatus, usize)> {
         let running = self.services.iter().filter(|(_, rollout)| rollout.is_running());
         let status = |(service, rollout): (&ServiceName, &ServiceRollout)| {
@@ -140,8 +139,7 @@
         running.map(status).collect()
     }
 
-    /// The services of which a part of the sessions is sent to a new version: the service,
-    /// the new version and the part.
+    /// The services that send a share of the sessions to a new version: service, new version and share.
     pub fn canaries(&self) -> Vec<(ServiceName, VersionName, f64)> {
         let current = self.services.values().filter_map(ServiceRollout::current);
         let canaries = current.filter(|stored| stored.record.phase == RolloutPhase::Canary);
@@ -151,7 +149,7 @@
         canaries.map(canary).collect()
     }
 
-    /// Another entry tells what it has counted in all so far, since an order.
+    /// Merges the total counts of a peer since an order.
     pub fn apply_peer_evidence(
         &mut self,
         host: HostId,
@@ -164,42 +162,41 @@
         }
     }
 
-    /// Whether the old version's usual times are to be asked of another entry: one that starts
-    /// during a roll-out, in a burst perhaps, has not seen an upstream that is as idle as the
-    /// new version's.
+    /// Whether a peer should be asked for the old version's baselines: a gateway that starts during a
+    /// rollout, perhaps in a burst, has not seen an upstream as idle as those of the new version.
     pub fn needs_baselines(&self) -> bool {
         self.services.values().any(ServiceRollout::needs_baselines)
     }
 
-    /// The old versions' usual times, as far as roll-outs are under way.
+    /// The old versions' baselines for rollouts in progress.
     pub fn baseline_updates(&self) -> Vec<BaselineUpdate> {
         self.services.values().flat_map(ServiceRollout::baseline_updates).collect()
     }
 
-    /// Another entry tells a usual time.
+    /// Merges a baseline from a peer.
     pub fn apply_baseline_update(&mut self, time: BaselineUpdate) {
         if let Some(rollout) = self.services.get_mut(&time.service) {
             rollout.apply_baseline_update(time);
         }
     }
 
-    /// What this entry knows of the ends of roll-outs: versions found bad, by its own evidence
-    /// or by others, that are not recorded yet, and orders that are completed.
+    /// The known outcomes of rollouts: versions found bad, here or by peers, that are not recorded yet,
+    /// and completed orders.
     pub fn decisions(&self) -> Vec<RolloutDecision> {
         self.services.values().filter_map(ServiceRollout::decision).collect()
     }
 
-    /// Another entry knows how a roll-out ends. A bad version is bad here too: an entry that
-    /// started after the evidence was seen would complete the roll-out. That it is completed
-    /// counts for an entry that does not reach the store: it would go on sending requests to
-    /// the old version, which is gone.
+    /// Merges the outcome of a rollout that a peer knows. A version that a peer found bad is bad here
+    /// too: a gateway that started after the evidence was collected would otherwise complete the
+    /// rollout. Completion matters to a gateway that cannot reach the store: it would go on sending
+    /// requests to the old version, which is gone.
     pub fn apply_peer_update(&mut self, decision: &RolloutDecision) {
         if let Some(rollout) = self.services.get_mut(&decision.service) {
             rollout.apply_peer_update(decision);
         }
     }
 
-    /// The changes to be stored now.
+    /// The writes that are due.
     pub fn due(&self, now: MonoTime) -> Vec<RolloutChange> {
         if self.clock_offset_ms.is_none() {
             return Vec::new();
@@ -213,7 +210,7 @@
         (local_ms(now) + self.clock_offset_ms.unwrap_or(0)).max(0).cast_unsigned()
     }
 
-    /// The state of each roll-out, for the state dump: service, target and phase.
+    /// The state of each rollout, for the state dump: service, record and row version.
     pub fn summary(&self) -> Vec<(ServiceName, RolloutRecord, StoreVersion)> {
         let stored = self.services.values().filter_map(|rollout| rollout.known.stored().cloned());
         stored.map(|stored| (stored.service, stored.record, stored.row_version)).collect()
--- a/crates/gateway/src/rollouts/step_writer.rs
+++ b/crates/gateway/src/rollouts/step_writer.rs
@@ -1,7 +1,7 @@
-//! The task that stores the next step of each roll-out.
+//! The task that stores the next step of each rollout.
 //!
-//! Every entry runs it. The condition on the record decides whose step counts; the others
-//! learn of it from the feed.
+//! Every gateway runs it. Each write requires the row version that was read, so one gateway's step
+//! takes effect; the others learn of it from the feed.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,25 +17,24 @@
 use crate::peers::follows_store;
 use crate::state::GatewayState;
 
-/// How often it is checked whether a step is due.
-const CHECK_EVERY: Duration = Duration::from_millis(100);
+/// How often the task checks for due steps.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// After a step was tried, the next try for the same service waits this long at least,
-/// so that the feed can bring what came of it, and up to twice as long at random, so that
-/// entries do not all try at once.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// The minimum delay between two writes for the same service, so that the feed can bring the result of
+/// the first. Up to twice as long, at random, so that gateways don't all write at once.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How long an entry that does not follow the store leaves a step to those that do: they see what
-/// came of it first. All entries find a step due in the same tenth of a second, and 15 to 24 of 103
-/// tried each.
-const LEFT_TO_OTHERS: Duration = Duration::from_millis(700);
+/// How long a gateway that does not follow the store leaves a step to those that do, as they learn of
+/// its result first. All gateways find a step due within the same tenth of a second; without this
+/// delay, 15 to 24 of 103 gateways wrote each step.
+const FALLBACK_STEP_DELAY: Duration = Duration::from_millis(700);
 
-/// Stores the next step of each roll-out when it is due, for ever.
+/// Stores the next step of each rollout when it is due. Never returns.
 pub(crate) async fn store_due_steps<S: ControlStore>(state: Arc<GatewayState>, store: Arc<S>) {
     let mut not_before: HashMap<ServiceName, MonoTime> = HashMap::new();
     let mut due_since: HashMap<ServiceName, MonoTime> = HashMap::new();
     loop {
-        tokio::time::sleep(CHECK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if !state.has_rollouts() {
             continue;
         }
@@ -45,14 +44,14 @@
         if due.is_empty() {
             continue;
         }
-        let patience = if follows_store(&state) { Duration::ZERO } else { LEFT_TO_OTHERS };
+        let min_age = if follows_store(&state) { Duration::ZERO } else { FALLBACK_STEP_DELAY };
         for change in due {
             let since = *due_since.entry(change.service.clone()).or_insert(now);
             let is_paused = not_before.get(&change.service).is_some_and(|at| now < *at);
-            if is_paused || now.since(since) < patience {
+            if is_paused || now.since(since) < min_age {
                 continue;
             }
-            let pause = RETRY_PAUSE.mul_f64(rand::rng().random_range(1.0..2.0));
+            let pause = RETRY_DELAY.mul_f64(rand::rng().random_range(1.0..2.0));
             not_before.insert(change.service.clone(), now.after(pause));
             commit(store.as_ref(), &change).await;
         }
@@ -75,7 +74,7 @@
             log::info!(
                 service:% = service,
                 phase:? = phase;
-                "another entry stored a roll-out step first"
+                "rollout step not stored: another gateway stored one first"
             );
         }
         Err(error) => {
@@ -83,7 +82,7 @@
                 service:% = service,
                 phase:? = phase,
                 error:% = error;
-                "roll-out step not stored, to be tried again"
+                "rollout step not stored; will be retried"
             );
         }
     }
--- a/crates/gateway/src/rollouts/version_rule.rs
+++ b/crates/gateway/src/rollouts/version_rule.rs
@@ -1,21 +1,21 @@
-//! Which versions a request may go to.
+//! Rules on the versions that a request may go to.
 
 use stallhoist_core::VersionName;
 use stallhoist_policy::rollout::control_share;
 
-/// A condition on an upstream's version.
+/// A condition on the version of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VersionFilter {
-    /// Whatever it is.
+    /// Any version.
     Any,
-    /// This one.
+    /// Only this version.
     Only(VersionName),
-    /// Any but this one.
+    /// Any version but this one.
     Except(VersionName),
 }
 
 impl VersionFilter {
-    /// Whether a version meets it.
+    /// Whether the filter allows a version.
     pub fn allows(&self, version: &VersionName) -> bool {
         match self {
             Self::Any => true,
@@ -25,34 +25,34 @@
     }
 }
 
-/// One upstream of the old version rests, as a control: it gets few requests, as those of the new
-/// version do, with which it is compared.
+/// One upstream of the old version serves as a control: like those of the new version, with which it is
+/// compared, it gets few requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ControlRule {
     /// The new version.
     pub target: VersionName,
     /// The new version's share of the requests.
     pub canary_share: f64,
-    /// The request's place among those that the new version does not get, from 0 on.
+    /// The request's position among those that the new version does not get, from 0 on.
     pub place: f64,
 }
 
 impl ControlRule {
-    /// Whether the request may go to the control, with so many upstreams of both versions.
+    /// Whether the request may go to the control, given the numbers of upstreams of both versions.
     pub fn is_for_control(&self, new_upstreams: usize, old_upstreams: usize) -> bool {
         let share = control_share(self.canary_share, new_upstreams, old_upstreams);
         (0.0..share).contains(&self.place)
     }
 }
 
-/// Which versions a request goes to, and which when there is none of these.
+/// The versions that a request goes to, and the fallback if none of them is available.
 #[derive(Debug, Clone, PartialEq)]
 pub struct VersionRule {
-    /// Those it goes to.
+    /// The preferred versions.
     pub wanted: VersionFilter,
-    /// Those it goes to when no upstream of the wanted ones can be used.
+    /// The versions to use if no upstream of the preferred ones is available.
     pub fallback: Option<VersionFilter>,
-    /// Whether one upstream of the wanted ones rests.
+    /// The rule for the control among the upstreams of the preferred versions, if there is one.
     pub control: Option<ControlRule>,
 }
 
@@ -68,20 +68,20 @@
         Self { wanted, fallback: None, control: None }
     }
 
-    /// Any version but this one, and this one if there is no other.
-    pub fn first_except(version: &VersionName) -> Self {
+    /// Any version but this one; this one if there is no other.
+    pub fn prefer_except(version: &VersionName) -> Self {
         Self { fallback: Some(VersionFilter::Any), ..Self::except(version) }
     }
 
-    /// This version, and any if it cannot be used.
-    pub fn first_only(version: &VersionName) -> Self {
+    /// This version; any if it is not available.
+    pub fn prefer_only(version: &VersionName) -> Self {
         let wanted = VersionFilter::Only(version.clone());
         Self { wanted, fallback: Some(VersionFilter::Any), control: None }
     }
 
-    /// This version, and the others if it cannot be used.
-    pub fn only_or_except(version: &VersionName) -> Self {
+    /// This version; the others if it is not available.
+    pub fn prefer_then_except(version: &VersionName) -> Self {
         let others = VersionFilter::Except(version.clone());
-        Self { fallback: Some(others), ..Self::first_only(version) }
+        Self { fallback: Some(others), ..Self::prefer_only(version) }
     }
 }
--- a/crates/gateway/src/rollouts/watch.rs
+++ b/crates/gateway/src/rollouts/watch.rs
@@ -1,4 +1,4 @@
-//! The task that shows how near the evidence of each roll-out is to a verdict.
+//! The task that reports how close the evidence of each rollout is to a decision.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,22 +13,22 @@
 use crate::metrics::RolloutSide;
 use crate::state::GatewayState;
 
-/// How often it is shown: a roll-out of the shortest duration in use, 16 s, gets eight lines.
-const SHOW_EVERY: Duration = Duration::from_secs(2);
+/// How often the evidence is reported: a rollout of 16 s, the shortest in use, gets eight lines.
+const REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Shows the evidence of each roll-out that is under way, for ever.
+/// Reports the evidence of each rollout in progress. Never returns.
 pub(crate) async fn watch(state: Arc<GatewayState>) {
     loop {
-        tokio::time::sleep(SHOW_EVERY).await;
+        tokio::time::sleep(REPORT_INTERVAL).await;
         let statuses = state.rollouts.lock().statuses();
         for (service, status, entries_told) in &statuses {
-            measure(&state.metrics, service, status);
-            show(service, status, *entries_told);
+            update_metrics(&state.metrics, service, status);
+            log_status(service, status, *entries_told);
         }
     }
 }
 
-fn measure(metrics: &Metrics, service: &ServiceName, status: &EvidenceStatus) {
+fn update_metrics(metrics: &Metrics, service: &ServiceName, status: &EvidenceStatus) {
     for (test, strength) in &status.strengths {
         let labels = EvidenceLabels { service: service.to_string(), test: format!("{test:?}") };
         metrics.rollout_evidence.get_or_create(&labels).set(*strength);
@@ -40,7 +40,7 @@
     }
 }
 
-fn show(service: &ServiceName, status: &EvidenceStatus, entries_told: usize) {
+fn log_status(service: &ServiceName, status: &EvidenceStatus, entries_told: usize) {
     let strengths: Vec<_> =
         status.strengths.iter().map(|(test, value)| format!("{test:?} {value:.1}")).collect();
     log::info!(
