--- a/tests/all/decisions/rollout_eras.rs
+++ b/tests/all/decisions/rollout_eras.rs
@@ -1,4 +1,4 @@
-//! Roll-outs after the store has come back from a copy.
+//! Rollouts after the store was restored from a copy.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 use super::rollout_rules::rule;
 use super::rollout_rules::stored;
 
-/// The record of the order, as the store has it after that.
+/// The record of the order, as the restored store has it.
 fn restored(phase: RolloutPhase, number: u64) -> StoredRollout {
     StoredRollout { row_version: later(number), ..stored(phase, 0) }
 }
 
-/// The step that is due: what is to be stored, and in place of which row.
+/// The due step: the phase to store, and the row version to replace.
 fn due(rollouts: &Rollouts) -> Option<(RolloutPhase, Option<StoreVersion>)> {
     let due = rollouts.due(at_ms(13_000));
     due.first().map(|change| (change.record.phase, change.expected))
@@ -41,16 +41,16 @@
 }
 
 #[test]
-fn a_record_that_went_back_is_stored_again() {
+fn a_record_that_was_reset_is_stored_again() {
     let mut rollouts = rollouts(RolloutPhase::Completed);
     rollouts.stored(restored(RolloutPhase::Canary, 11));
     assert_eq!(due(&rollouts), Some((RolloutPhase::Completed, Some(later(11)))));
     assert_eq!(rule(&rollouts, 0.99, Some("v1")).wanted, new());
 }
 
-// By an entry that started meanwhile.
+// The other rollout was begun by a gateway that started in the meantime.
 #[test]
-fn a_rollout_that_is_over_goes_before_one_that_was_begun_anew() {
+fn a_finished_rollout_takes_precedence_over_a_restarted_one() {
     let mut rollouts = rollouts(RolloutPhase::Completed);
     let mut anew = restored(RolloutPhase::Canary, 20);
     anew.record.started_ms = 9_000;
@@ -59,20 +59,20 @@
 }
 
 #[test]
-fn an_order_that_is_read_again_is_not_begun_anew() {
+fn an_order_that_is_read_again_is_not_restarted() {
     let mut rollouts = rollouts(RolloutPhase::Completed);
     rollouts.apply_order(RolloutOrder { row_version: later(30), ..order(0) });
     rollouts.stored(restored(RolloutPhase::Completed, 11));
-    // An entry that starts would take the order for a new one, as it is later than the record.
+    // A starting gateway would take the order for a new one, as it is later than the record.
     assert_eq!(due(&rollouts), Some((RolloutPhase::Completed, Some(later(11)))));
     rollouts.stored(restored(RolloutPhase::Completed, 31));
     assert_eq!(due(&rollouts), None);
     assert_eq!(rule(&rollouts, 0.99, Some("v1")).wanted, new());
 }
 
-// The record is one of an earlier order of the same version.
+// The record belongs to an earlier order of the same version.
 #[test]
-fn an_order_without_an_answer_has_none_when_all_is_read_again() {
+fn an_order_without_a_record_has_none_when_all_is_read_again() {
     for is_order_first in [true, false] {
         let mut rollouts = Rollouts::new(RolloutConfig::default());
         rollouts.set_store_clock(at_ms(0), 0);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn another_order_after_the_return_is_begun() {
+fn another_order_after_the_restore_is_started() {
     let mut rollouts = rollouts(RolloutPhase::Completed);
     rollouts.stored(restored(RolloutPhase::Completed, 11));
     let other = RolloutOrder { duration: Duration::from_secs(30), ..order(0) };
--- a/tests/all/decisions/rollout_evidence.rs
+++ b/tests/all/decisions/rollout_evidence.rs
@@ -1,4 +1,4 @@
-//! Telling a bad version from a good one.
+//! Tells bad versions from good ones.
 
 use std::time::Duration;
 
@@ -34,8 +34,8 @@
     answered_ms(rng.random_range(50..200))
 }
 
-/// Answers of the new version until it is called bad, among sixteen times as many of the
-/// old one; none when it is not within `most`.
+/// The responses of the new version until it is found bad, among sixteen times as many of the old one;
+/// none if it is not found within `most`.
 fn found_bad_after(seed: u64, old_rate: f64, new_rate: f64, most: u32) -> Option<u32> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut evidence = RolloutEvidence::default();
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_version_that_fails_half_of_the_time_is_found_in_a_few_answers() {
+fn a_version_that_fails_half_of_the_time_is_found_in_a_few_responses() {
     for seed in 0..200 {
         let after = found_bad_after(seed, 0.02, 0.5, 100).expect("it is found");
         assert!(after <= 40, "seed {seed}: {after}");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_service_that_always_fails_a_part_has_a_good_version_too() {
+fn a_good_version_of_a_service_with_constant_failures_is_not_called_bad() {
     let called = (0..500).filter(|seed| found_bad_after(*seed, 0.14, 0.14, 300).is_some());
     assert!(called.count() <= 2);
 }
@@ -83,7 +83,7 @@
     assert!(evidence.is_bad());
 }
 
-// Routes take different times: the new version is measured by the same route's.
+// Routes have different latencies: the new version is compared with the same route.
 #[test]
 fn a_slow_route_does_not_make_a_version_slow() {
     let mut evidence = RolloutEvidence::default();
@@ -97,8 +97,8 @@
     assert!(!evidence.is_bad());
 }
 
-// Seen on the bench: the usual time over all models hid that the small one took eight
-// times as long in half of its answers (own day rollout-slow, EXPOSURE).
+// Baselines are kept per model: a baseline over all models would hide that the small one takes eight
+// times as long in half of its responses.
 #[test]
 fn a_slow_version_is_found_whatever_the_mixture_of_models() {
     for seed in 0..100 {
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn times_that_vary_widely_do_not_make_a_version_slow() {
+fn widely_varying_latencies_do_not_make_a_version_slow() {
     let mut called = 0;
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -137,10 +137,10 @@
     assert!(called <= 2, "{called} of 200");
 }
 
-// Seen on the bench: everything had moved over and was completed before the first slow
-// answer came (own day rollout-slow on Fjordsegl, EXPOSURE).
+// Overdue responses count at once: otherwise a rollout may be completed before the first slow response
+// arrives.
 #[test]
-fn answers_that_are_overdue_count_before_they_come() {
+fn overdue_responses_count_before_they_arrive() {
     let mut evidence = RolloutEvidence::default();
     for _ in 0..100 {
         evidence.old_version(&kind("r"), LOAD, answered_ms(100));
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_overdue_answer_counts_once() {
+fn an_overdue_response_counts_once() {
     let mut evidence = RolloutEvidence::default();
     evidence.new_version(&kind("r"), LOAD, Observation::Overdue);
     evidence.new_version(&kind("r"), LOAD, Observation::AnsweredOverdue(Duration::from_secs(1)));
@@ -163,26 +163,26 @@
 }
 
 #[test]
-fn before_a_usual_time_is_known_nothing_is_overdue() {
+fn without_a_baseline_nothing_is_overdue() {
     let mut evidence = RolloutEvidence::default();
     evidence.old_version(&kind("r"), LOAD, answered_ms(100));
     assert_eq!(evidence.slow_threshold(&kind("r"), LOAD), None);
 }
 
-// Seen on the bench: a version whose engines generate slowly answers its first part in time.
+// A version that generates slowly still sends the first chunk in time.
 #[test]
 fn a_version_that_generates_slowly_is_found() {
-    let pace = RequestKind { part: LatencyKind::Pause, ..kind("r") };
+    let token_interval = RequestKind { part: LatencyKind::Pause, ..kind("r") };
     let paced_ms = |ms| Observation::Paced(Duration::from_millis(ms));
     let mut evidence = RolloutEvidence::default();
     for _ in 0..100 {
         evidence.old_version(&kind("r"), LOAD, answered_ms(100));
-        evidence.old_version(&pace, LOAD, paced_ms(70));
+        evidence.old_version(&token_interval, LOAD, paced_ms(70));
     }
     for _ in 0..15 {
         evidence.new_version(&kind("r"), LOAD, answered_ms(110));
-        evidence.new_version(&pace, LOAD, paced_ms(400));
+        evidence.new_version(&token_interval, LOAD, paced_ms(400));
     }
     assert!(evidence.is_bad());
-    assert_eq!(evidence.own().new.answers, 15, "a pace is no answer of its own");
+    assert_eq!(evidence.own().new.answers, 15, "a token interval is not a response");
 }
--- a/tests/all/decisions/rollout_plan.rs
+++ b/tests/all/decisions/rollout_plan.rs
@@ -1,4 +1,4 @@
-//! The steps of a roll-out, and the share of the new version.
+//! The steps of a rollout, and the share of the new version.
 
 use stallhoist_policy::rollout::RolloutConfig;
 use stallhoist_policy::rollout::RolloutPhase;
@@ -16,7 +16,7 @@
 
 const SHIFTING: RolloutPhase = RolloutPhase::Shifting { since_ms: STARTED_MS + 17_700 };
 
-/// So long after its start, in this phase, this is the next step.
+/// Checks the next step at a time after the start, in a phase.
 macro_rules! step {
     ($name:ident, $phase:expr, $elapsed_ms:expr, $is_bad:expr, $expected:expr) => {
         #[test]
@@ -57,7 +57,8 @@
 step!(rolled_back_stays, RolloutPhase::RolledBack, 50_000, false, RolloutStep::Wait);
 step!(a_clock_that_jumped_back_waits, RolloutPhase::Canary, 0, false, RolloutStep::Wait);
 
-/// The part of all requests that a version gets in its time that nothing shows to be bad.
+/// The share of all requests that a version gets within the ordered duration if nothing shows that it
+/// is bad.
 fn exposure(config: &RolloutConfig) -> f64 {
     let mut phase = RolloutPhase::Canary;
     let mut exposed_ms = 0.0;
@@ -72,16 +73,17 @@
     exposed_ms / 20_000.0
 }
 
-// A version that is bad only under a load that it never met was taken for good, and had a third of
-// all requests by its time. Where 0.0975 was allowed in place of 0.15, another had 0.112.
+// A version that is bad only under a load that it did not get during observation must not get more than
+// the allowed share. Without a bound, such a version got a third of all requests; with the default
+// schedule, another got 0.112 where 0.0975 was allowed in place of 0.15.
 #[test]
-fn no_version_gets_more_than_its_share_of_requests_in_its_time() {
+fn no_version_exceeds_its_share_of_requests() {
     let share = exposure(&RolloutConfig::default());
     assert!(share < 0.14, "{share}");
 }
 
-/// Where so much is allowed, no version gets more than nine tenths of it, and it is completed in
-/// time.
+/// Checks that no version gets more than nine tenths of the allowed exposure, and that the rollout is
+/// completed in time.
 macro_rules! within {
     ($name:ident, $max_exposure:expr) => {
         #[test]
@@ -96,19 +98,19 @@
     };
 }
 
-within!(within_the_usual, 0.15);
+within!(within_the_default, 0.15);
 within!(within_two_thirds_of_it, 0.0975);
 within!(within_a_third_of_it, 0.05);
 within!(within_very_little, 0.02);
 within!(a_larger_one_changes_nothing, 0.5);
 
 #[test]
-fn nonsense_is_taken_for_the_usual() {
+fn an_invalid_exposure_gives_the_default() {
     assert_eq!(RolloutConfig::within(f64::NAN).shift_after, RolloutConfig::default().shift_after);
 }
 
 #[test]
-fn the_share_grows_from_the_canarys_to_all() {
+fn the_share_grows_from_canary_to_all() {
     let config = RolloutConfig::default();
     let share = |phase, ms| new_version_share(&config, &record(phase), STARTED_MS + ms);
     assert_eq!(share(RolloutPhase::Canary, 10_000), config.canary_share);
--- a/tests/all/decisions/rollout_rules.rs
+++ b/tests/all/decisions/rollout_rules.rs
@@ -1,4 +1,4 @@
-//! Which version a request goes to.
+//! The version that a request goes to.
 
 use std::time::Duration;
 
@@ -70,7 +70,7 @@
     VersionFilter::Except(version("v2"))
 }
 
-/// In this phase, a request with this unit and session goes to this version.
+/// Checks the version that a request with this unit and session goes to, in a phase.
 macro_rules! goes_to {
     ($name:ident, $phase:expr, $unit:expr, $session:expr, $wanted:expr) => {
         #[test]
@@ -80,8 +80,8 @@
     };
 }
 
-goes_to!(a_few_are_tried, RolloutPhase::Canary, 0.01, None, new());
-goes_to!(most_are_not, RolloutPhase::Canary, 0.5, None, old());
+goes_to!(a_few_go_to_the_new, RolloutPhase::Canary, 0.01, None, new());
+goes_to!(most_go_to_the_old, RolloutPhase::Canary, 0.5, None, old());
 goes_to!(a_session_stays_on_the_old, RolloutPhase::Canary, 0.01, Some("v1"), old());
 goes_to!(a_session_stays_on_the_new, RolloutPhase::Canary, 0.5, Some("v2"), new());
 goes_to!(a_session_moves_on_when_all_do, SHIFTING, 0.3, Some("v1"), new());
@@ -94,8 +94,8 @@
     assert_eq!(rule(&rollouts(RolloutPhase::RolledBack), 0.5, None).fallback, None);
 }
 
-/// Roll-outs of which only busy upstreams of the old version were seen.
-fn rollouts_beside_a_burst(phase: RolloutPhase) -> Rollouts {
+/// Rollouts in which only busy upstreams of the old version were observed.
+fn rollouts_in_a_burst(phase: RolloutPhase) -> Rollouts {
     let mut rollouts = rollouts(phase);
     let pace = RequestKind { route: None, model: None, part: LatencyKind::Pause };
     for _ in 0..10 {
@@ -105,15 +105,15 @@
     rollouts
 }
 
-/// In thousandths, the places of requests that may go to the control, with so many upstreams of
-/// the new version and of the old one.
+/// Checks the places, in thousandths, of requests that may go to the control, with these numbers of
+/// upstreams of the new and the old version.
 macro_rules! control_gets {
     ($name:ident, $new:expr, $old:expr, $places:expr) => {
         #[test]
         fn $name() {
-            let rollouts = rollouts_beside_a_burst(RolloutPhase::Canary);
+            let rollouts = rollouts_in_a_burst(RolloutPhase::Canary);
             let is_for_control = |unit| {
-                let control = rule(&rollouts, unit, None).control.expect("one rests");
+                let control = rule(&rollouts, unit, None).control.expect("there is a control");
                 control.is_for_control($new, $old)
             };
             let places: Vec<_> =
@@ -123,24 +123,24 @@
     };
 }
 
-// Of two upstreams of the new version each has half of its 3 in 100 requests.
+// Each of two upstreams of the new version gets half of its 3 in 100 requests.
 control_gets!(the_control_gets_as_much_as_each_upstream_of_the_new_version, 2, 50, 30..45);
-control_gets!(no_less_than_a_part_of_what_each_of_the_old_one_gets, 17, 5, 30..80);
+control_gets!(the_control_gets_no_less_than_a_fraction_of_an_old_upstreams_share, 17, 5, 30..80);
 
 #[test]
-fn sessions_of_the_old_version_leave_the_control_alone() {
-    let rollouts = rollouts_beside_a_burst(RolloutPhase::Canary);
-    let control = rule(&rollouts, 0.01, Some("v1")).control.expect("one rests");
+fn sessions_of_the_old_version_avoid_the_control() {
+    let rollouts = rollouts_in_a_burst(RolloutPhase::Canary);
+    let control = rule(&rollouts, 0.01, Some("v1")).control.expect("there is a control");
     assert!(!control.is_for_control(2, 5));
 }
 
 #[test]
-fn none_rests_when_everything_moves_over() {
-    assert_eq!(rule(&rollouts_beside_a_burst(SHIFTING), 0.99, None).control, None);
+fn there_is_no_control_when_everything_moves() {
+    assert_eq!(rule(&rollouts_in_a_burst(SHIFTING), 0.99, None).control, None);
 }
 
 #[test]
-fn none_rests_where_the_old_version_was_seen_idle() {
+fn there_is_no_control_if_the_old_version_was_observed_idle() {
     assert_eq!(rule(&rollouts(RolloutPhase::Canary), 0.5, None).control, None);
 }
 
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn before_the_record_is_known_the_old_version_goes_first() {
+fn before_the_record_is_known_the_old_version_is_preferred() {
     let mut rollouts = Rollouts::new(RolloutConfig::default());
     rollouts.apply_order(order(10));
     let rule = rule(&rollouts, 0.01, None);
@@ -160,7 +160,7 @@
 
 // The same version is ordered again after it was rolled back.
 #[test]
-fn a_record_that_is_older_than_the_order_does_not_answer_it() {
+fn a_record_that_is_older_than_the_order_does_not_belong_to_it() {
     let mut rollouts = rollouts(RolloutPhase::RolledBack);
     rollouts.apply_order(order(20));
     let due = rollouts.due(at_ms(13_000));
@@ -170,13 +170,13 @@
 }
 
 #[test]
-fn an_older_record_changes_nothing() {
+fn an_older_record_is_ignored() {
     let mut rollouts = rollouts(RolloutPhase::RolledBack);
     rollouts.stored(stored(RolloutPhase::Canary, 10));
     assert_eq!(rule(&rollouts, 0.01, None).wanted, old());
 }
 
-// What an entry has found out itself counts at once, whether or not it can be stored.
+// A local finding applies at once, whether or not it can be stored.
 #[test]
 fn a_version_found_bad_gets_nothing_more() {
     let mut rollouts = rollouts(RolloutPhase::Canary);
@@ -198,58 +198,58 @@
     assert_eq!(rollouts.due(at_ms(1))[0].record.started_ms, 700);
 }
 
-fn told(answers: u64, failures: u64) -> EvidenceTotals {
+fn totals_of(answers: u64, failures: u64) -> EvidenceTotals {
     let old = VersionCounts { answers: 100, ..VersionCounts::default() };
     let new = VersionCounts { answers, failures, ..VersionCounts::default() };
     EvidenceTotals { old, new }
 }
 
-fn tell(rollouts: &mut Rollouts, entry: &str, order_version: u64, totals: EvidenceTotals) {
+fn apply_counts(rollouts: &mut Rollouts, entry: &str, order_version: u64, totals: EvidenceTotals) {
     let host = entry.parse().expect("a name");
     rollouts.apply_peer_evidence(host, &service(), StoreVersion::of(order_version), totals);
 }
 
-// In a large fleet no entry alone sees enough of the new version.
+// In a large fleet, no gateway alone sees enough of the new version.
 #[test]
-fn what_others_counted_decides_too() {
+fn counts_of_peers_decide_too() {
     let mut rollouts = rollouts(RolloutPhase::Canary);
     for n in 0..6 {
-        tell(&mut rollouts, &format!("entry-{n}"), 10, told(2, 1));
+        apply_counts(&mut rollouts, &format!("entry-{n}"), 10, totals_of(2, 1));
     }
     assert_eq!(rule(&rollouts, 0.01, None).wanted, old());
 }
 
-// Totals are told again and again: what was counted before does not count twice.
+// Peers send totals repeatedly: counts that were included before must not count twice.
 #[test]
-fn totals_that_are_told_again_count_once() {
+fn totals_that_are_sent_again_count_once() {
     let mut rollouts = rollouts(RolloutPhase::Canary);
     for _ in 0..50 {
-        tell(&mut rollouts, "entry-1", 10, told(3, 1));
+        apply_counts(&mut rollouts, "entry-1", 10, totals_of(3, 1));
     }
     assert_eq!(rule(&rollouts, 0.01, None).wanted, new());
 }
 
 #[test]
-fn an_entry_that_restarted_counts_anew() {
+fn counts_of_a_restarted_gateway_are_added() {
     let mut rollouts = rollouts(RolloutPhase::Canary);
     for _ in 0..6 {
-        tell(&mut rollouts, "entry-1", 10, told(4, 2));
-        tell(&mut rollouts, "entry-1", 10, EvidenceTotals::default());
+        apply_counts(&mut rollouts, "entry-1", 10, totals_of(4, 2));
+        apply_counts(&mut rollouts, "entry-1", 10, EvidenceTotals::default());
     }
     assert_eq!(rule(&rollouts, 0.01, None).wanted, old());
 }
 
 #[test]
-fn counts_of_another_order_are_of_no_use() {
+fn counts_of_another_order_are_ignored() {
     let mut rollouts = rollouts(RolloutPhase::Canary);
-    tell(&mut rollouts, "entry-1", 9, told(100, 100));
+    apply_counts(&mut rollouts, "entry-1", 9, totals_of(100, 100));
     assert_eq!(rule(&rollouts, 0.01, None).wanted, new());
 }
 
 #[test]
-fn an_entry_tells_only_what_it_counted_itself() {
+fn a_gateway_sends_only_its_local_counts() {
     let mut rollouts = rollouts(RolloutPhase::Canary);
-    tell(&mut rollouts, "entry-1", 10, told(3, 1));
+    apply_counts(&mut rollouts, "entry-1", 10, totals_of(3, 1));
     let kind = RequestKind { route: None, model: None, part: LatencyKind::First };
     rollouts.observe(&service(), &version("v2"), &kind, 4, Observation::Failed);
     let own = rollouts.local_evidence();
@@ -258,66 +258,66 @@
     assert_eq!((totals.new.answers, totals.new.failures, totals.old.answers), (1, 1, 0));
 }
 
-fn verdict(order_version: u64, outcome: RolloutOutcome) -> RolloutDecision {
+fn decision(order_version: u64, outcome: RolloutOutcome) -> RolloutDecision {
     RolloutDecision { service: service(), order_version: StoreVersion::of(order_version), outcome }
 }
 
-// Three entries had found a version bad while the store was away; one that had started since
-// then completed the roll-out when the store came back.
+// Otherwise a gateway that has just started completes the rollout of a version that its peers found bad
+// while the store was unavailable.
 #[test]
-fn a_verdict_of_another_entry_counts_at_one_that_has_seen_nothing() {
+fn a_decision_of_a_peer_applies_without_local_counts() {
     let mut rollouts = rollouts(SHIFTING);
-    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
+    rollouts.apply_peer_update(&decision(10, RolloutOutcome::Bad));
     assert_eq!(rule(&rollouts, 0.01, None).wanted, old());
     let due = rollouts.due(at_ms(30_000));
     assert_eq!(due.len(), 1);
     assert_eq!(due[0].record.phase, RolloutPhase::RolledBack, "and is not completed");
-    assert_eq!(rollouts.decisions(), [verdict(10, RolloutOutcome::Bad)], "it is passed on");
+    assert_eq!(rollouts.decisions(), [decision(10, RolloutOutcome::Bad)], "it is sent on to peers");
 }
 
 #[test]
-fn a_verdict_on_another_order_does_not_count() {
+fn a_decision_on_another_order_is_ignored() {
     let mut rollouts = rollouts(SHIFTING);
-    rollouts.apply_peer_update(&verdict(9, RolloutOutcome::Bad));
-    rollouts.apply_peer_update(&verdict(9, RolloutOutcome::Completed));
+    rollouts.apply_peer_update(&decision(9, RolloutOutcome::Bad));
+    rollouts.apply_peer_update(&decision(9, RolloutOutcome::Completed));
     assert_eq!(rule(&rollouts, 0.01, None).wanted, new());
-    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
+    rollouts.apply_peer_update(&decision(10, RolloutOutcome::Bad));
     rollouts.apply_order(order(12));
-    assert_eq!(rollouts.decisions(), [], "a new order begins without a verdict");
+    assert_eq!(rollouts.decisions(), [], "a new order begins without a decision");
 }
 
 #[test]
-fn a_verdict_is_told_until_it_is_stored() {
+fn a_decision_is_sent_until_it_is_stored() {
     let mut rollouts = rollouts(RolloutPhase::Canary);
-    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
+    rollouts.apply_peer_update(&decision(10, RolloutOutcome::Bad));
     assert_eq!(rollouts.decisions().len(), 1);
     rollouts.stored(stored(RolloutPhase::RolledBack, 12));
     assert_eq!(rollouts.decisions(), []);
 }
 
-// An entry that did not reach the store called the version bad after others had completed the
-// roll-out, and they believed it: with the old version gone all three refused every request.
+// A gateway that cannot reach the store may find the version bad after others have completed the
+// rollout. If its peers trusted that, all would reject every request, as the old version is gone.
 #[test]
 fn a_version_that_is_completed_cannot_be_found_bad() {
     let mut rollouts = rollouts(RolloutPhase::Completed);
-    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
+    rollouts.apply_peer_update(&decision(10, RolloutOutcome::Bad));
     assert_eq!(rule(&rollouts, 0.99, None).wanted, new());
-    assert_eq!(rollouts.decisions(), [verdict(10, RolloutOutcome::Completed)]);
+    assert_eq!(rollouts.decisions(), [decision(10, RolloutOutcome::Completed)]);
 }
 
 #[test]
-fn an_entry_that_does_not_reach_the_store_is_told_of_the_completion() {
+fn a_gateway_that_cannot_reach_the_store_learns_of_the_completion_from_peers() {
     let mut rollouts = rollouts(SHIFTING);
-    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Bad));
-    rollouts.apply_peer_update(&verdict(10, RolloutOutcome::Completed));
+    rollouts.apply_peer_update(&decision(10, RolloutOutcome::Bad));
+    rollouts.apply_peer_update(&decision(10, RolloutOutcome::Completed));
     let rule = rule(&rollouts, 0.99, None);
     assert_eq!((rule.wanted, rule.fallback), (new(), Some(VersionFilter::Any)));
     assert!(rollouts.due(at_ms(30_000)).is_empty(), "there is nothing left to store");
 }
 
-// The next version is compared with the one that was completed, not with the one before that.
+// The next version is compared with the completed one, not with the one before that.
 #[test]
-fn a_completed_version_is_what_the_next_one_is_compared_with() {
+fn the_next_version_is_compared_with_the_completed_one() {
     let kind = RequestKind { route: None, model: None, part: LatencyKind::First };
     let answered = |ms| Observation::Answered(Duration::from_millis(ms));
     let mut rollouts = rollouts(RolloutPhase::Canary);
@@ -336,5 +336,5 @@
     };
     rollouts.stored(record);
     answers(&mut rollouts, "v3", 100);
-    assert!(rollouts.decisions().iter().any(|verdict| verdict.outcome == RolloutOutcome::Bad));
+    assert!(rollouts.decisions().iter().any(|decision| decision.outcome == RolloutOutcome::Bad));
 }
