--- a/tests/all/decisions/store_return_model.rs
+++ b/tests/all/decisions/store_return_model.rs
@@ -1,8 +1,9 @@
-//! The record of a roll-out at a store that comes back from copies: a model, played at random.
+//! Random model test of a rollout's record at a store that is restored from copies.
 //!
-//! Two entries, one order, which operators may replace, one record. Entries read when they like, their
-//! writes are conditional and the answers to them are lost; one of them starts again and again. What the
-//! other knows of the end stays, and whatever was lost the next order is followed.
+//! There are two gateways, one order, which operators may replace, and one record. Gateways read at any
+//! time; their writes are conditional and the replies are lost. One gateway restarts again and again.
+//! The outcome that the other one knows must not change, and whatever was lost, the next order must be
+//! followed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -31,18 +32,18 @@
 
 use super::at_ms;
 
-/// Between two steps: the order's time, 20 s, is over after some of them.
+/// The time between two steps. Some steps take longer than the duration of an order, 20 s.
 const STEP_MS: u64 = 1_500;
 
-/// The entry that never starts again.
+/// The gateway that never restarts.
 const LASTING: usize = 0;
 
-/// The one that does.
+/// The gateway that restarts.
 const RESTARTING: usize = 1;
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// Operators order it, for the first time or for another duration.
+    /// Operators order the rollout, for the first time or with another duration.
     Order,
     ReadOrder(usize),
     ReadRecord(usize),
@@ -51,7 +52,7 @@
     Restart,
     Copy,
     Return,
-    /// Operators write again what the store has lost of theirs.
+    /// Operators write their lost order again.
     WriteOrderAgain,
 }
 
@@ -69,7 +70,7 @@
     ]
 }
 
-/// The rows of the store, with the numbers of their last changes.
+/// The rows of the store, with the row versions of their last changes.
 #[derive(Debug, Clone, Default)]
 struct Rows {
     number: u64,
@@ -94,8 +95,8 @@
 }
 
 impl Row {
-    /// Whether the condition of a write holds. That a row has by chance the number of one that was lost
-    /// is left out: a condition cannot tell them apart.
+    /// Whether the condition of a write holds. The model has no rows whose version equals by chance
+    /// that of a lost row, as a condition cannot tell these apart.
     fn is(&self, expected: StoreVersion) -> bool {
         self.number == expected.number && self.era <= expected.era.0
     }
@@ -106,14 +107,15 @@
     era: u64,
     rows: Rows,
     copy: Rows,
-    /// The duration in seconds of what operators have ordered, whatever the store has of that.
+    /// The duration, in seconds, of the latest order, whether or not the store still has it.
     ordered_s: Option<u64>,
     entries: [Rollouts; 2],
-    /// The duration of the order that the lasting entry has read last.
+    /// The duration of the order that the lasting gateway read last.
     read_s: Option<u64>,
-    /// Whether it had not read it before the store lost it. It cannot tell it from a new one then.
+    /// Whether the lasting gateway reads the order for the first time after the store lost it. It
+    /// cannot tell it from a new order then.
     is_read_again: bool,
-    /// The end that the lasting entry knows, of the newest order, which it has read.
+    /// The outcome of the newest order that the lasting gateway has read and knows.
     end: Option<RolloutPhase>,
 }
 
@@ -186,7 +188,7 @@
         self.check();
     }
 
-    /// Operators write what they have ordered, where it is not there.
+    /// Operators write their order if it is not in the store.
     fn write_order(&mut self, is_again: bool) {
         let is_there = self.rows.order.map(|order| order.duration_s) == self.ordered_s;
         if let Some(duration_s) = self.ordered_s.filter(|_| !is_there) {
@@ -195,7 +197,7 @@
         }
     }
 
-    /// An entry that knows an order waits until operators have written again.
+    /// A gateway that knows an order waits until operators have written it again.
     fn read_order(&mut self, entry: usize) {
         let Some(OrderRow { number, duration_s, is_again }) = self.rows.order else {
             return;
@@ -221,7 +223,7 @@
         }
     }
 
-    /// The entry writes what is due. The answer is lost: it learns of it by reading.
+    /// A gateway writes what is due. The reply is lost, so it learns of the result by reading.
     fn write(&mut self, entry: usize) {
         for change in self.entries[entry].due(self.now()) {
             let holds = match (&self.rows.record, change.expected) {
@@ -241,12 +243,12 @@
             return;
         };
         let order_version = self.version(number);
-        let verdict =
+        let decision =
             RolloutDecision { service: service(), order_version, outcome: RolloutOutcome::Bad };
-        self.entries[entry].apply_peer_update(&verdict);
+        self.entries[entry].apply_peer_update(&decision);
     }
 
-    /// The end that the lasting entry has come to go by is the one that it goes by ever after.
+    /// The outcome that the lasting gateway follows must not change any more.
     fn check(&mut self) {
         let known = self.entries[LASTING].summary().pop();
         let newest_s = self.ordered_s.filter(|_| self.read_s == self.ordered_s);
@@ -269,7 +271,7 @@
         self.entries[entry].rule(self.now(), &service(), 0.5, None).wanted
     }
 
-    /// All is written again and read, and what is due is written, until nothing is.
+    /// Writes everything again, reads it and writes what is due, until nothing is.
     fn settle(&mut self) {
         for _ in 0..20 {
             for step in [Step::WriteOrderAgain, Step::ReadOrder(0), Step::ReadOrder(1)] {
@@ -284,7 +286,7 @@
     }
 }
 
-/// The version that requests go to after an end.
+/// The version that requests go to after an outcome.
 fn wanted_by(end: RolloutPhase) -> VersionFilter {
     match end {
         RolloutPhase::Completed => VersionFilter::Only(target()),
@@ -301,7 +303,7 @@
     })]
 
     #[test]
-    fn an_end_that_is_known_stays(steps in vec(step(), 0..60)) {
+    fn a_known_outcome_does_not_change(steps in vec(step(), 0..60)) {
         let mut model = Model::new();
         for step in steps {
             model.play(step);
--- a/tests/all/gateway/rollouts.rs
+++ b/tests/all/gateway/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs through the store: one record, whoever acts and whatever is lost.
+//! Rollouts through the store: there is one record, whichever gateway acts and whatever is lost.
 
 use std::time::Duration;
 
@@ -39,10 +39,10 @@
 }
 
 pub(super) async fn wait_for_status(world: &World, state: &str) {
-    wait_until("operators are told", async || status(world).as_deref() == Some(state)).await;
+    wait_until("operators see the state", async || status(world).as_deref() == Some(state)).await;
 }
 
-/// Waits until the gateway knows the record of the roll-out.
+/// Waits until the gateway knows the record of the rollout.
 pub(super) async fn wait_for_record(world: &World) {
     wait_until("the record is known", async || {
         let rollouts = world.dump().await["rollouts"].clone();
@@ -51,7 +51,7 @@
     .await;
 }
 
-/// Asks until operators are told this state. Gives how many requests there were.
+/// Sends requests until operators see this state. Returns the number of requests.
 pub(super) async fn ask_until(world: &World, state: &str) -> usize {
     for n in 0..20_000 {
         if status(world).as_deref() == Some(state) {
@@ -75,7 +75,7 @@
     assert_eq!(world.upstreams[0].runs() + world.upstreams[1].runs(), before);
 });
 
-// The bad version's failures are made up for by the old one, and it is given up long
+// Requests that fail on the bad version succeed on the old one, and the rollout is rolled back long
 // before it was to be completed.
 case!(a_bad_version_is_rolled_back, async {
     let world = world(Behaviour::Fail).await;
@@ -90,7 +90,7 @@
     assert_eq!(world.upstreams[2].runs(), seen);
 });
 
-case!(an_order_is_taken_up_although_the_answers_of_writes_are_lost, async {
+case!(an_order_is_followed_although_replies_to_writes_are_lost, async {
     let world = world(Behaviour::stream(2)).await;
     world.store.set_fault(Some(StoreFault::LoseWriteAnswers));
     order(&world, 600.0);
@@ -98,17 +98,17 @@
     let first = world.store.get(RECORDS, ENGINE);
     world.store.set_fault(None);
     wait_for_record(&world).await;
-    assert_eq!(world.store.get(RECORDS, ENGINE), first, "it was not begun anew");
+    assert_eq!(world.store.get(RECORDS, ENGINE), first, "it was not restarted");
 });
 
-case!(two_entries_make_one_record, async {
+case!(two_gateways_make_one_record, async {
     let world = world(Behaviour::stream(2)).await;
     let second = start_gateway(&world.store).await;
     order(&world, 600.0);
     wait_for_status(&world, "running").await;
     let first = world.store.get(RECORDS, ENGINE);
     let http = reqwest::Client::builder().no_proxy().build().expect("a client");
-    wait_until("the second entry knows the record", async || {
+    wait_until("the second gateway knows the record", async || {
         let url = format!("http://{}/state", second.operators_addr());
         let response = http.get(url).send().await.expect("the dump is served");
         let dump: Value = response.json().await.expect("the dump is JSON");
@@ -118,7 +118,7 @@
     assert_eq!(world.store.get(RECORDS, ENGINE), first);
 });
 
-// After a restart the record alone says that the bad version gets nothing.
+// After a restart, only the record says that the bad version must not be used.
 case!(a_rolled_back_version_stays_out_after_a_restart, async {
     let mut world = world(Behaviour::Fail).await;
     order(&world, 600.0);
@@ -134,9 +134,9 @@
     assert_eq!(world.upstreams[2].runs(), seen);
 });
 
-// Seen on the bench: a session was forgotten while its answer was still being streamed, and
-// its next request went to the version on trial (own day rollout-class, PINNED).
-case!(a_session_whose_answer_takes_long_keeps_its_version, async {
+// A session must not expire while its response is still streamed: its next request could go to the new
+// version.
+case!(a_session_with_a_long_response_keeps_its_version, async {
     const SESSIONS: usize = 60;
     let mut world = world(Behaviour::stream(2)).await;
     let mut settings = super::world::settings(&world.store);
--- a/tests/all/gateway/store_returns.rs
+++ b/tests/all/gateway/store_returns.rs
@@ -1,8 +1,8 @@
-//! A store that comes back from a copy some seconds old.
+//! A store that is restored from a copy some seconds old.
 //!
-//! What it had acknowledged since is gone, its versions go back and are given out again, to other rows.
-//! Operators and upstreams write again what they had written; what the system itself had written is
-//! known to its entries alone.
+//! Everything that it acknowledged since is lost, its row versions go back and are reused for other
+//! rows. Operators and upstreams write their rows again; rows of the gateways are known only to the
+//! gateways themselves.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -29,33 +29,33 @@
 use crate::case::case;
 use crate::harness::wait_until;
 
-/// Upstreams and operators have written again by then what they had written.
+/// Upstreams and operators have written their rows again after this time.
 const WRITTEN_AGAIN_AFTER: Duration = Duration::from_millis(1_800);
 
-/// Until then nothing that is gone from the store is given up, and a while longer.
+/// Until then, and a while longer, rows that are gone from the store are kept in use.
 const SETTLED_AFTER: Duration = Duration::from_millis(6_500);
 
-/// More writes than the versions have gone back.
+/// More writes than the row versions have gone back.
 const MANY: usize = 60;
 
 const FATAL: &str = "fatal";
 
-/// Others write rows that say nothing to entries.
+/// Writes rows that mean nothing to gateways.
 fn others_write(store: &StoreStandin) {
     for n in 0..MANY {
         store.put("op", &format!("other/{n}"), json!({}));
     }
 }
 
-/// The configurations in force at the entries.
+/// The active configurations of the gateways.
 async fn versions(fleet: &Fleet) -> Vec<u64> {
     let dumps = fleet.dumps().await;
     dumps.iter().filter_map(|dump| dump["config_version"].as_u64()).collect()
 }
 
-/// What was written before the return goes on being in force, and what is written after it comes into
-/// force, although its version is one that entries have seen before.
-async fn configurations_come_into_force(entries: usize) {
+/// A configuration from before the restore stays active, and one that is written after it becomes
+/// active, although gateways have seen its row version before.
+async fn configurations_become_active(entries: usize) {
     let fleet = Fleet::of(entries).await;
     fleet.wait_until_listed().await;
     let copy = fleet.store.copy();
@@ -67,7 +67,7 @@
     for _ in 0..3 {
         others_write(&fleet.store);
     }
-    wait_until("the newest configuration is in force", async || {
+    wait_until("the newest configuration is active", async || {
         let versions = versions(&fleet).await;
         assert!(versions.iter().all(|version| *version >= 2), "{versions:?}");
         versions.iter().all(|version| *version == 3)
@@ -75,11 +75,11 @@
     .await;
 }
 
-case!(configurations_come_into_force_at_one_entry, configurations_come_into_force(1));
-case!(configurations_come_into_force_at_seven, configurations_come_into_force(7));
+case!(configurations_become_active_at_one_gateway, configurations_become_active(1));
+case!(configurations_become_active_at_seven_gateways, configurations_become_active(7));
 
-// Twice in a row, before all have noticed the first time.
-case!(a_store_that_comes_back_twice, async {
+// Two restores in a row, the second before all gateways have noticed the first.
+case!(a_store_that_is_restored_twice, async {
     let fleet = Fleet::of(7).await;
     fleet.wait_until_listed().await;
     let first = fleet.store.copy();
@@ -96,8 +96,8 @@
     fleet.wait_for_version(4).await;
 });
 
-// An answer that was long on its way, or comes by another entry that has not noticed.
-case!(an_answer_of_an_earlier_era_changes_nothing, async {
+// A reply that was delayed, or was relayed by a gateway that has not noticed the restore.
+case!(a_reply_of_an_earlier_era_is_ignored, async {
     let fleet = Fleet::of(3).await;
     fleet.store.restore_from(fleet.store.copy());
     fleet.store.put("op", "config", config(2));
@@ -105,7 +105,7 @@
     fleet.store.tell_era(Some(0));
     fleet.store.put("op", "config", config(3));
     let calls = fleet.store.calls().len();
-    wait_until("all have asked often", async || {
+    wait_until("all have polled often", async || {
         assert_eq!(versions(&fleet).await, [2, 2, 2]);
         fleet.store.calls().len() > calls + MANY
     })
@@ -114,8 +114,8 @@
     fleet.wait_for_version(3).await;
 });
 
-// Entries write their own rows, which are lost with the rest.
-case!(entries_list_themselves_again, async {
+// Gateways write rows for themselves, which are lost with the rest.
+case!(gateways_list_themselves_again, async {
     let fleet = Fleet::of(3).await;
     fleet.wait_until_listed().await;
     fleet.store.restore_from(StoreCopy::default());
@@ -123,9 +123,9 @@
     fleet.wait_until_listed().await;
 });
 
-/// The store comes back. Operators and upstreams write again only after a while, until which callers ask,
-/// and a while after it.
-async fn come_back(
+/// Restores the store. Operators and upstreams write again only after a while; callers send requests
+/// until then and for a while longer.
+async fn restore(
     world: &World,
     copy: StoreCopy,
     write_again: impl Fn(&StoreStandin),
@@ -152,7 +152,7 @@
     assert_eq!((n, answer.status), (n, 200));
 }
 
-/// Waits until so many upstreams are listed.
+/// Waits until this many upstreams are listed.
 async fn wait_for_listed(world: &World, count: usize) {
     wait_until("the upstreams are listed", async || {
         world.dump().await["upstreams"].to_string().matches("Listed").count() == count
@@ -160,8 +160,8 @@
     .await;
 }
 
-/// An upstream that came since the store's copy, and its row.
-async fn with_one_since_the_copy() -> (World, StoreCopy, Value) {
+/// An upstream that was listed after the copy was made, and its row.
+async fn with_one_listed_after_the_copy() -> (World, StoreCopy, Value) {
     let world = World::start(PLAIN, &[Behaviour::answer("done")]).await;
     world.store.remove("servers", "i-0");
     let copy = world.store.copy();
@@ -171,24 +171,24 @@
     (world, copy, entry)
 }
 
-// One that came since the copy is used all the while, though its row is gone for two seconds.
-case!(an_upstream_that_came_since_is_not_given_up, async {
-    let (world, copy, entry) = with_one_since_the_copy().await;
+// It stays in use although its row is gone for two seconds.
+case!(an_upstream_listed_after_the_copy_is_kept, async {
+    let (world, copy, entry) = with_one_listed_after_the_copy().await;
     let write_again = |store: &StoreStandin| store.put("servers", "i-0", entry.clone());
-    come_back(&world, copy, write_again, async |n| ask_plain(&world, n).await).await;
+    restore(&world, copy, write_again, async |n| ask_plain(&world, n).await).await;
 });
 
-// One that has gone is given up, once it had time to be listed again.
-case!(an_upstream_that_is_not_listed_again_is_given_up, async {
-    let (world, copy, _) = with_one_since_the_copy().await;
+// An upstream that has gone is dropped once it had time to be listed again.
+case!(an_upstream_that_is_not_listed_again_is_dropped, async {
+    let (world, copy, _) = with_one_listed_after_the_copy().await;
     world.store.restore_from(copy);
-    wait_until("it is given up", async || {
+    wait_until("it is dropped", async || {
         !world.dump().await["upstreams"].to_string().contains("i-0")
     })
     .await;
 });
 
-case!(a_zone_emptied_since_stays_emptied, async {
+case!(a_zone_emptied_after_the_copy_stays_emptied, async {
     let world = World::start(PLAIN, &vec![Behaviour::answer("done"); 2]).await;
     let other_zone = world.upstreams[1].entry(PLAIN, "zone-2", "v1", "ready");
     world.store.put("servers", "i-1", other_zone);
@@ -200,19 +200,19 @@
     })
     .await;
     let before = world.upstreams[0].arrivals().len();
-    come_back(&world, copy, empty, async |n| ask_plain(&world, n).await).await;
+    restore(&world, copy, empty, async |n| ask_plain(&world, n).await).await;
     assert_eq!(world.upstreams[0].arrivals().len(), before);
 });
 
-/// A stream of a session of its own, which is served.
+/// Sends a stream in a session of its own and checks that it is served.
 async fn ask_stream(world: &World, n: usize) {
     let request = world.stream(&format!("after-{n}")).header("Session", format!("after-{n}"));
     assert_eq!(send(request).await.expect("an answer").status, 200);
 }
 
-/// A roll-out ends, and the store comes back from a copy that knows of its order and not of its end, or of
-/// neither. Nothing goes to the version that lost, and operators are told the end again.
-async fn an_end_stays(new: Behaviour, end: &str, loser: usize, is_order_in_copy: bool) {
+/// A rollout ends, and the store is restored from a copy that has its order but not its outcome, or
+/// neither. No request may go to the losing version, and operators must see the outcome again.
+async fn an_outcome_stays(new: Behaviour, end: &str, loser: usize, is_order_in_copy: bool) {
     let world = rollout_world(new).await;
     let duration_s = if end == "completed" { 3.0 } else { 600.0 };
     let before = world.store.copy();
@@ -232,30 +232,30 @@
             order(&world, duration_s);
         }
     };
-    come_back(&world, copy, write_again, async |n| ask_stream(&world, n).await).await;
+    restore(&world, copy, write_again, async |n| ask_stream(&world, n).await).await;
     assert_eq!(world.upstreams[loser].runs(), lost);
-    // Operators are told again.
+    // Operators see the outcome again.
     wait_for_status(&world, end).await;
 }
 
-case!(a_completed_rollout_is_not_begun_anew, {
-    an_end_stays(Behaviour::stream(2), "completed", 0, true)
+case!(a_completed_rollout_is_not_restarted, {
+    an_outcome_stays(Behaviour::stream(2), "completed", 0, true)
 });
 
-case!(a_completed_rollout_whose_order_is_written_again_is_not_begun_anew, {
-    an_end_stays(Behaviour::stream(2), "completed", 0, false)
+case!(a_completed_rollout_whose_order_is_written_again_is_not_restarted, {
+    an_outcome_stays(Behaviour::stream(2), "completed", 0, false)
 });
 
 case!(a_version_that_was_rolled_back_stays_out, {
-    an_end_stays(Behaviour::Fail, "rolled_back", 2, true)
+    an_outcome_stays(Behaviour::Fail, "rolled_back", 2, true)
 });
 
 case!(a_version_that_was_rolled_back_stays_out_when_its_order_is_written_again, {
-    an_end_stays(Behaviour::Fail, "rolled_back", 2, false)
+    an_outcome_stays(Behaviour::Fail, "rolled_back", 2, false)
 });
 
-// A new order is one, in whatever era.
-case!(a_new_order_after_the_return_is_followed, async {
+// A new order is followed in any era.
+case!(a_new_order_after_the_restore_is_followed, async {
     let world = rollout_world(Behaviour::stream(2)).await;
     let copy = world.store.copy();
     order(&world, 600.0);
@@ -266,8 +266,8 @@
     ask_until(&world, "completed").await;
 });
 
-// An operator's order that was under way goes on where it was.
-case!(a_rollout_under_way_goes_on, async {
+// A rollout in progress continues where it was.
+case!(a_rollout_in_progress_continues, async {
     let world = rollout_world(Behaviour::stream(2)).await;
     let before = world.store.copy();
     order(&world, 600.0);
@@ -276,11 +276,11 @@
     let record = || world.store.get("stallhoist-rollouts", ENGINE);
     let known = record();
     let write_again = |_: &StoreStandin| order(&world, 600.0);
-    come_back(&world, before, write_again, async |n| ask_stream(&world, n).await).await;
+    restore(&world, before, write_again, async |n| ask_stream(&world, n).await).await;
     wait_until("the record is back", async || record() == known).await;
 });
 
-case!(a_request_held_back_since_stays_so, async {
+case!(a_request_quarantined_after_the_copy_stays_so, async {
     let world = World::start(PLAIN, &vec![Behaviour::answer("done"); 6]).await;
     for upstream in &world.upstreams {
         upstream.ends_on(EndRule::of(FATAL), world.store.writer(), PLAIN);
@@ -304,5 +304,5 @@
     })
     .await;
     let ends: usize = world.upstreams.iter().map(|upstream| upstream.ends().len()).sum();
-    assert!(ends <= 4, "{ends} upstreams have ended");
+    assert!(ends <= 4, "{ends} upstreams have crashed");
 });
