--- a/crates/gateway/src/rollouts/step_writer.rs
+++ b/crates/gateway/src/rollouts/step_writer.rs
@@ -26,7 +26,7 @@
 
 /// How long a gateway that does not follow the store leaves a step to those that do, as they learn of
 /// its result first. All gateways find a step due within the same tenth of a second; without this
-/// delay, 15 to 24 of 103 gateways wrote each step.
+/// delay, 15 to 24 of 103 gateways tried to write each step.
 const FALLBACK_STEP_DELAY: Duration = Duration::from_millis(700);
 
 /// Stores the next step of each rollout when it is due. Never returns.
--- a/tests/all/gateway/fatal_requests.rs
+++ b/tests/all/gateway/fatal_requests.rs
@@ -75,16 +75,16 @@
 
 impl World {
     async fn start(entries: usize, service: &str) -> Self {
-        let usual =
+        let behaviour =
             if service == ENGINE { Behaviour::stream(2) } else { Behaviour::answer("done") };
-        Self::start_with(entries, service, usual).await
+        Self::start_with(entries, service, behaviour).await
     }
 
-    async fn start_with(entries: usize, service: &str, usual: Behaviour) -> Self {
+    async fn start_with(entries: usize, service: &str, behaviour: Behaviour) -> Self {
         let fleet = Fleet::of(entries).await;
         let mut upstreams = Vec::new();
         for n in 0..UPSTREAMS {
-            let upstream = UpstreamStandin::start(&format!("i-{n}"), usual.clone()).await;
+            let upstream = UpstreamStandin::start(&format!("i-{n}"), behaviour.clone()).await;
             let upstream = upstream.expect("the upstream starts");
             upstream.ends_on(EndRule::of(FATAL), fleet.store.writer(), service);
             upstreams.push(upstream);
@@ -271,11 +271,11 @@
 // Most long streams of other callers must not break with a fatal request.
 case!(streams_on_the_crashed_upstreams_complete, async {
     let world = World::start_with(1, ENGINE, long_stream()).await;
-    let beside = (0..OTHER_STREAMS).map(|n| world.ask_whole(0, "/stream/x", format!("other {n}")));
-    let (fatal, beside) = join(world.repeat("/stream/x", FATAL), join_all(beside)).await;
+    let others = (0..OTHER_STREAMS).map(|n| world.ask_whole(0, "/stream/x", format!("other {n}")));
+    let (fatal, others) = join(world.repeat("/stream/x", FATAL), join_all(others)).await;
     assert_eq!(fatal, 503);
     assert!(world.ends(FATAL).len() >= CRASHES_UNTIL_KNOWN);
-    assert_eq!(beside.iter().filter(|is_whole| !**is_whole).count(), 0);
+    assert_eq!(others.iter().filter(|is_whole| !**is_whole).count(), 0);
 });
 
 // Connections break for other reasons too. Polls all have the same, empty body.
