--- a/crates/gateway/src/upstreams/mod.rs
+++ b/crates/gateway/src/upstreams/mod.rs
@@ -342,7 +342,12 @@
         model: &ModelName,
         prompt: &Prompt,
     ) {
-        self.state.lock().prefix_caches.record_prefill(now, incarnation, model, prompt.shared_parts());
+        self.state.lock().prefix_caches.record_prefill(
+            now,
+            incarnation,
+            model,
+            prompt.shared_parts(),
+        );
     }
 
     /// Learns the prefill speed of a model from the time to the first chunk of a response.
