--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,7 +5,6 @@
 //! function has to guess what a string or a number means. It has no sockets, no
 //! clocks and no dependencies on the rest of the workspace.
 
-mod answer_digest;
 mod attempt;
 mod bill_record;
 mod cost;
@@ -22,12 +21,12 @@
 mod request_fingerprint;
 mod request_id;
 mod request_rate;
+mod response_digest;
 mod store_version;
 mod target;
 mod upstream_incarnation;
 mod usage;
 
-pub use answer_digest::AnswerDigest;
 pub use attempt::AttemptId;
 pub use bill_record::BillRecord;
 pub use cost::CostMicros;
@@ -72,6 +71,7 @@
 pub use request_id::RequestId;
 pub use request_rate::RequestRate;
 pub use request_rate::RequestRateError;
+pub use response_digest::ResponseDigest;
 pub use store_version::StoreVersion;
 pub use target::Target;
 pub use target::TargetError;
--- a/crates/core/src/answer_digest.rs
+++ b/crates/core/src/response_digest.rs
@@ -9,9 +9,9 @@
 /// It guards against lost, doubled or foreign chunks, not against an attacker:
 /// the connection has been authenticated before the first chunk.
 #[derive(Default, Clone)]
-pub struct AnswerDigest(Xxh3);
+pub struct ResponseDigest(Xxh3);
 
-impl AnswerDigest {
+impl ResponseDigest {
     /// Takes in the next chunk.
     pub fn update(&mut self, chunk: &[u8]) {
         self.0.update(chunk);
@@ -23,8 +23,8 @@
     }
 }
 
-impl fmt::Debug for AnswerDigest {
+impl fmt::Debug for ResponseDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "AnswerDigest({:016x})", self.value())
+        write!(f, "ResponseDigest({:016x})", self.value())
     }
 }
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use stallhoist_core::AnswerDigest;
 use stallhoist_core::AttemptId;
 use stallhoist_core::HostId;
 use stallhoist_core::IncarnationId;
+use stallhoist_core::ResponseDigest;
 use stallhoist_wire::attempt_to_wire;
 use stallhoist_wire::messages::Cancel;
 use stallhoist_wire::messages::ResponseHead;
@@ -25,7 +25,7 @@
     pub(super) events: UnboundedReceiver<AttemptEvent>,
     pub(super) head: Option<ResponseHead>,
     pub(super) next_sequence: u64,
-    pub(super) digest: AnswerDigest,
+    pub(super) digest: ResponseDigest,
     pub(super) error_body: Vec<u8>,
 }
 
--- a/crates/entry/src/request/execution.rs
+++ b/crates/entry/src/request/execution.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use stallhoist_core::AnswerDigest;
 use stallhoist_core::AttemptId;
 use stallhoist_core::AttemptNumber;
 use stallhoist_core::BillRecord;
 use stallhoist_core::HostId;
 use stallhoist_core::NotRunReason;
+use stallhoist_core::ResponseDigest;
 use stallhoist_policy::placement::Choice;
 use stallhoist_policy::retry::RequestProgress;
 use stallhoist_policy::retry::RequestRules;
@@ -218,7 +218,7 @@
             events,
             head: None,
             next_sequence: 0,
-            digest: AnswerDigest::default(),
+            digest: ResponseDigest::default(),
             error_body: Vec::new(),
         });
         // A connection that breaks here is noticed as any other cut.
--- a/crates/sidecar/src/answer.rs
+++ b/crates/sidecar/src/answer.rs
@@ -9,11 +9,11 @@
 
 use bytes::Bytes;
 use parking_lot::Mutex;
-use stallhoist_core::AnswerDigest;
 use stallhoist_core::AttemptId;
 use stallhoist_core::BillRecord;
 use stallhoist_core::MonoTime;
 use stallhoist_core::NotRunReason;
+use stallhoist_core::ResponseDigest;
 use stallhoist_core::Target;
 use stallhoist_core::WorkspaceName;
 use stallhoist_wire::FrameSender;
@@ -51,7 +51,7 @@
     head: Option<Head>,
     chunks: Vec<Bytes>,
     bytes: usize,
-    digest: AnswerDigest,
+    digest: ResponseDigest,
     end: Option<(AttemptEnd, MonoTime)>,
 }
 
