--- a/crates/coordination/src/active_table.rs
+++ b/crates/coordination/src/active_table.rs
@@ -66,8 +66,8 @@
         self.current.send_if_modified(|current| {
             let base = match current {
                 Some(held) if held.revision >= entry.revision => return false,
-                Some(held) => held.with_entry(entry),
-                None => Table::default().with_entry(entry),
+                Some(held) => held.with_log_entry(entry),
+                None => Table::default().with_log_entry(entry),
             };
             match base {
                 Ok(next) => {
--- a/crates/table/src/address.rs
+++ b/crates/table/src/address.rs
@@ -33,9 +33,9 @@
     /// # Errors
     /// Fails when a workspace's column is asked of a target, or the reverse.
     pub fn check(&self) -> Result<(), CellError> {
-        match (self.column.is_of_workspace(), &self.target) {
-            (true, Some(_)) => Err(CellError::OfWorkspace(self.column.to_string())),
-            (false, None) => Err(CellError::OfTarget(self.column.to_string())),
+        match (self.column.is_workspace_column(), &self.target) {
+            (true, Some(_)) => Err(CellError::WorkspaceColumn(self.column.to_string())),
+            (false, None) => Err(CellError::TargetColumn(self.column.to_string())),
             _ => Ok(()),
         }
     }
--- a/crates/table/src/column.rs
+++ b/crates/table/src/column.rs
@@ -74,7 +74,7 @@
 
 impl Column {
     /// Whether the column belongs to the workspace as a whole.
-    pub fn is_of_workspace(self) -> bool {
+    pub fn is_workspace_column(self) -> bool {
         matches!(self, Self::KeyDigest | Self::QualityTargetPercent)
     }
 }
--- a/crates/table/src/error.rs
+++ b/crates/table/src/error.rs
@@ -21,9 +21,9 @@
         expected: &'static str,
     },
     /// column '{0}' belongs to a workspace as a whole: write '*' for the target
-    OfWorkspace(String),
+    WorkspaceColumn(String),
     /// column '{0}' belongs to a target: name a model version or a service
-    OfTarget(String),
+    TargetColumn(String),
     /// a cell is written WORKSPACE/TARGET/COLUMN, with '*' for a workspace's own columns
     BadAddress,
     /// bad workspace name
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -106,7 +106,7 @@
             Column::CascadePlace => self.cascade_place = parse_number(value)?,
             Column::GuardResets => self.guard_resets = parse_number(value)?,
             Column::KeyDigest | Column::QualityTargetPercent => {
-                return Err(CellError::OfWorkspace(column.to_string()));
+                return Err(CellError::WorkspaceColumn(column.to_string()));
             }
         }
         Ok(())
--- a/crates/table/src/table.rs
+++ b/crates/table/src/table.rs
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// Fails when the entry does not follow this revision or does not apply.
-    pub fn with_entry(&self, entry: &LogEntry) -> Result<Self, EditError> {
+    pub fn with_log_entry(&self, entry: &LogEntry) -> Result<Self, EditError> {
         if entry.revision != self.revision.next() {
             return Err(EditError::WrongRevision {
                 expected: entry.revision.0,
--- a/crates/table/src/workspace_row.rs
+++ b/crates/table/src/workspace_row.rs
@@ -51,7 +51,7 @@
                 self.key_digest = Some(digest);
             }
             Column::QualityTargetPercent => self.quality_target_percent = parse_percent(value)?,
-            _ => return Err(CellError::OfTarget(column.to_string())),
+            _ => return Err(CellError::TargetColumn(column.to_string())),
         }
         Ok(())
     }
