--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,4 +1,4 @@
-//! The identity of one try at running a request.
+//! The identity of one attempt to run a request.
 
 use std::fmt;
 
@@ -8,12 +8,12 @@
 use crate::AttemptNumber;
 use crate::RequestId;
 
-/// One try at running a request on one upstream.
+/// Identifies one attempt to run a request on one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The request that is tried.
+    /// The request that is attempted.
     pub request: RequestId,
-    /// Which try it is.
+    /// The number of the attempt within the request, from 1.
     pub number: AttemptNumber,
 }
 
--- a/crates/core/src/bill_record.rs
+++ b/crates/core/src/bill_record.rs
@@ -1,4 +1,4 @@
-//! What a request is billed.
+//! The bill of a request.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,21 +10,21 @@
 use crate::Usage;
 use crate::WorkspaceName;
 
-/// What one request is billed. Its key is the request, not the attempt: of several
-/// records of one request, the one with the highest attempt number stands, since a
-/// later attempt's record includes what earlier ones used.
+/// The bill of one request. Its key is the request, not the attempt: of several
+/// records of one request, the one with the highest attempt number is valid, since a
+/// later attempt's record includes the usage of earlier ones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BillRecord {
-    /// The request, and the key.
+    /// The request, which is the key of the record.
     pub request: RequestId,
-    /// The attempt that answered.
+    /// The attempt that produced the response.
     pub attempt_number: AttemptNumber,
-    /// Who pays.
+    /// The workspace that is billed.
     pub workspace: WorkspaceName,
-    /// What answered.
+    /// The model version or service that responded.
     pub target: Target,
-    /// What was used.
+    /// The tokens that all attempts up to this one used.
     pub usage: Usage,
-    /// What it costs.
+    /// The cost, in millionths of the operators' currency unit.
     pub cost_micros: CostMicros,
 }
--- a/crates/core/src/cost.rs
+++ b/crates/core/src/cost.rs
@@ -21,7 +21,7 @@
 pub struct CostMicros(pub u64);
 
 impl CostMicros {
-    /// What `tokens` cost when this amount buys a thousand of them, rounded up.
+    /// The cost of `tokens` at a price of this amount per 1,000 tokens, rounded up.
     #[must_use]
     pub fn for_tokens(self, tokens: TokenCount) -> Self {
         Self((self.0 * tokens.0).div_ceil(TOKENS_PER_PRICE_UNIT))
--- a/crates/core/src/key_digest.rs
+++ b/crates/core/src/key_digest.rs
@@ -16,13 +16,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Display, thiserror::Error)]
 pub struct KeyDigestError;
 
-/// The SHA-256 of a bearer key, in hexadecimal. The key itself is never kept.
+/// The SHA-256 of a bearer key, in hexadecimal. The key itself is never stored.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct KeyDigest(String);
 
 impl KeyDigest {
-    /// The digest of `key`.
+    /// Computes the digest of `key`.
     pub fn of(key: &str) -> Self {
         let mut hex = String::with_capacity(HEX_LEN);
         for byte in Sha256::digest(key.as_bytes()) {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Identifiers, sizes, rates and outcomes that every other crate speaks in.
+//! Identifiers, sizes, rates and outcomes shared by all other crates.
 //!
-//! This crate exists so that a host, a workspace or a token count has one type
-//! everywhere: a value is checked once, where it enters the system, and no
-//! function has to guess what a string or a number means. It has no sockets, no
-//! clocks and no dependencies on the rest of the workspace.
+//! A host, a workspace or a token count has the same type everywhere. Values are
+//! validated once, where they enter the system, so that no function has to interpret
+//! a bare string or number. The crate uses no sockets and no clocks other than for the
+//! timestamps in generated identifiers, and depends on no other crate of this repository.
 
 mod attempt;
 mod bill_record;
--- a/crates/core/src/model_version.rs
+++ b/crates/core/src/model_version.rs
@@ -13,12 +13,12 @@
 
 const SEPARATOR: char = '@';
 
-/// Why a text does not name a model version.
+/// Why a text is not a valid model version.
 #[derive(Debug, Clone, PartialEq, Eq, Display, thiserror::Error)]
 pub enum ModelVersionError {
     /// '{0}' lacks the '@' between model and version, as in summary@v3
     NoSeparator(String),
-    /// a part of the model version is not a name
+    /// the model or the version is not a valid name
     Name(#[from] NameError),
 }
 
--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -1,4 +1,4 @@
-//! Names that people choose, checked once when they enter the system.
+//! Names chosen by people, validated when they enter the system.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Why a name was refused.
+/// Why a name is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Display, thiserror::Error)]
 pub enum NameError {
     /// a name must not be empty
@@ -42,7 +42,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -81,7 +81,7 @@
 }
 
 name_type!(
-    /// A host, as the platform's host list names it.
+    /// A host, by its name in the platform's host list.
     HostId
 );
 name_type!(
@@ -89,7 +89,8 @@
     ZoneName
 );
 name_type!(
-    /// A region: availability zones that are near each other, and where data may be kept.
+    /// A region: a group of nearby availability zones, and the unit in which data residency is
+    /// configured.
     RegionName
 );
 name_type!(
@@ -105,19 +106,19 @@
     VersionName
 );
 name_type!(
-    /// A plain service that stands beside the model engines.
+    /// A plain service, which is not a model engine.
     ServiceName
 );
 name_type!(
-    /// The kind of work a caller says a request is.
+    /// The kind of task that a caller declares for a request.
     TaskName
 );
 name_type!(
-    /// The caller's own name for a request, by which a repeated one is recognised.
+    /// A key that the caller chooses for a request, by which a repeated request is recognised.
     IdempotencyKey
 );
 name_type!(
-    /// One start of an upstream: a restart at the same address has another.
+    /// One instance of an upstream: a restart at the same address has another id.
     InstanceId
 );
 name_type!(
--- a/crates/core/src/not_run_reason.rs
+++ b/crates/core/src/not_run_reason.rs
@@ -10,7 +10,7 @@
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident = $code:literal $text:literal,)*) => {
-        /// Why a request was not run. Each has a number for messages and a text for callers.
+        /// Why a request was not run. Each reason has a code for messages and a text for callers.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
         #[serde(rename_all = "kebab-case")]
         pub enum NotRunReason {
@@ -18,12 +18,12 @@
         }
 
         impl NotRunReason {
-            /// The number that stands for the reason in messages.
+            /// The code of the reason in messages.
             pub fn code(self) -> u32 {
                 match self { $(Self::$name => $code,)* }
             }
 
-            /// The reason a message's number stands for.
+            /// The reason with this code; `None` for an unknown code.
             pub fn from_code(code: u32) -> Option<Self> {
                 match code { $($code => Some(Self::$name),)* _ => None }
             }
@@ -49,34 +49,34 @@
 }
 
 reasons! {
-    /// The workspace's rows do not allow the target.
+    /// The workspace's rows in the operators' table do not allow the target.
     NotAllowed = 1 "not-allowed",
     /// The version is withdrawn.
     Withdrawn = 2 "withdrawn",
-    /// The upstream is leaving and takes no new work.
+    /// The upstream is draining and accepts no new requests.
     Leaving = 3 "leaving",
-    /// The queue could not start it before its deadline.
+    /// The admission queue could not start the request before its deadline.
     Overloaded = 4 "overloaded",
-    /// A limit of its row is used up.
+    /// A limit of its row in the operators' table is exhausted.
     LimitReached = 5 "limit-reached",
-    /// No upstream for it can be reached.
+    /// No upstream for the target can be reached.
     NoUpstream = 6 "no-upstream",
-    /// The platform's store is needed for it and does not answer.
+    /// The request needs the platform's store, which does not respond.
     StoreUnavailable = 7 "store-unavailable",
-    /// Another request holds its idempotency key.
+    /// Another request has claimed its idempotency key.
     DuplicateKey = 8 "duplicate-key",
     /// The sidecar does not serve the target.
     NotServed = 9 "not-served",
-    /// The attempt was barred before it came.
+    /// The attempt was barred before it arrived.
     Barred = 10 "barred",
-    /// The process has no table yet.
+    /// The process has not loaded the operators' table yet.
     NoTable = 11 "no-table",
-    /// The deadline passed before it was started.
+    /// The deadline passed before the request was started.
     DeadlinePassed = 12 "deadline-passed",
-    /// The version is held back by the guard.
+    /// The guard holds the version.
     Held = 13 "held",
     /// The upstream refused the connection.
     UpstreamUnreachable = 14 "upstream-unreachable",
-    /// It is not marked as new work: the draining version takes only its sessions.
+    /// The version is draining and accepts only requests of sessions that started on it.
     Draining = 15 "draining",
 }
--- a/crates/core/src/numbers.rs
+++ b/crates/core/src/numbers.rs
@@ -1,4 +1,4 @@
-//! Counters and sizes that must not be mixed up.
+//! Distinct types for counters and sizes, so that they cannot be confused.
 
 use std::fmt;
 use std::str::FromStr;
@@ -21,7 +21,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The value that follows this one.
+            /// Returns the value that follows this one.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -46,16 +46,16 @@
 }
 
 number_type!(
-    /// The revision of the operators' table. It only grows.
+    /// The revision of the operators' table. It never decreases.
     Revision
 );
 number_type!(
-    /// The number of a try at running one request, from 1.
+    /// The number of an attempt to run a request, from 1.
     AttemptNumber
 );
 number_type!(
     /// A number that grows with each holder of a lease; the receiver of an order
-    /// refuses a lower one than it has seen.
+    /// rejects a token lower than the highest it has seen.
     FencingToken
 );
 number_type!(
@@ -63,15 +63,15 @@
     TokenCount
 );
 number_type!(
-    /// The version of the routing configuration. It only grows, in uneven steps.
+    /// The version of the routing configuration. It never decreases and may skip values.
     ConfigVersion
 );
 number_type!(
-    /// How often the platform's store has come back from a copy. What it had acknowledged since that
-    /// copy is gone, and its versions are given out again.
+    /// How often the platform's store was restored from a copy. Writes acknowledged after the copy was
+    /// made are lost, and their version numbers are assigned again.
     StoreEra
 );
 number_type!(
-    /// When an upstream started, in Unix milliseconds of its own clock, which may jump.
+    /// When an upstream started, in Unix milliseconds by its own clock, which may jump.
     StartTime
 );
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,21 +1,21 @@
-//! How a request ended.
+//! The outcome of a request.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How a request ended. Every request ends in exactly one of these.
+/// The outcome of a request. Every request has exactly one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It ran, and the caller has the whole answer.
+    /// It ran, and the caller received the complete response.
     Completed,
-    /// It did not run and will not: a guarantee.
+    /// It did not run and is guaranteed never to run.
     NotRun,
-    /// It ran, and the upstream answered with an error.
+    /// It ran, and the upstream responded with an error.
     Failed,
-    /// It may have run: said only when no process can tell any more.
+    /// It may have run. Used only when no process can determine whether it did.
     Unknown,
 }
 
--- a/crates/core/src/prompt.rs
+++ b/crates/core/src/prompt.rs
@@ -1,28 +1,28 @@
-//! What a caller says of its prompt.
+//! A caller's description of its prompt.
 
-/// One part of a prompt. Prompts that begin with the same parts share what an engine
-/// has read of them.
+/// One part of a prompt. Prompts that begin with the same parts share the prefix cache
+/// of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// The part's own id.
+    /// The id of the part's content.
     pub id: u64,
-    /// Its length.
+    /// The length of the part, in tokens.
     pub tokens: u64,
 }
 
-/// What a caller says of its prompt and of the answer it allows.
+/// A caller's description of its prompt and of the longest response it allows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// The parts, in order. The last one belongs to this request alone.
+    /// The parts, in order. The last one is specific to this request.
     pub parts: Vec<PromptPart>,
-    /// The length of the whole prompt.
+    /// The length of the whole prompt, in tokens.
     pub input_tokens: u64,
-    /// The most tokens that may be generated.
+    /// The maximum number of tokens to generate.
     pub max_output_tokens: u64,
 }
 
 impl Prompt {
-    /// The parts that other requests may share.
+    /// The parts that other requests may share: all but the last.
     pub fn shared_parts(&self) -> &[PromptPart] {
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
--- a/crates/core/src/request_id.rs
+++ b/crates/core/src/request_id.rs
@@ -1,4 +1,4 @@
-//! Identifiers that processes make up.
+//! Identifiers that processes generate.
 
 use std::fmt;
 use std::str::FromStr;
@@ -20,32 +20,32 @@
         pub struct $name(Uuid);
 
         impl $name {
-            /// A new identifier that carries the present time (UUID version 7).
+            /// Generates an identifier that contains the current time (UUID version 7).
             pub fn generate() -> Self {
                 Self(Uuid::now_v7())
             }
 
-            /// The identifier made of these bits, for seeded callers and messages.
+            /// Creates an identifier from its bits, for seeded generators and for messages.
             pub fn from_u128(bits: u128) -> Self {
                 Self(Uuid::from_u128(bits))
             }
 
-            /// The sixteen bytes that go into messages.
+            /// Returns the 16 bytes that are sent in messages.
             pub fn as_bytes(&self) -> &[u8; 16] {
                 self.0.as_bytes()
             }
 
-            /// Reads the sixteen bytes of a message.
+            /// Reads an identifier from 16 bytes of a message.
             ///
             /// # Errors
-            /// Fails when there are not exactly sixteen.
+            /// Fails when `bytes` does not hold exactly 16 bytes.
             pub fn from_slice(bytes: &[u8]) -> Result<Self, IdError> {
                 let id = Uuid::from_slice(bytes).map_err(|_| IdError(format!("{} bytes", bytes.len())))?;
                 Ok(Self(id))
             }
 
-            /// The wall-clock time the identifier carries, in milliseconds since 1970;
-            /// zero when it carries none.
+            /// The wall-clock time in the identifier, in Unix milliseconds; 0 when it contains
+            /// none.
             pub fn unix_ms(&self) -> u64 {
                 const MS_PER_S: u64 = 1_000;
                 const NS_PER_MS: u32 = 1_000_000;
@@ -74,14 +74,15 @@
 }
 
 id_type!(
-    /// One request of a caller, from arrival to its final answer. The bill's key.
+    /// One request of a caller, from its arrival to its final response. Bills are stored under it.
     RequestId
 );
 id_type!(
-    /// One edit of the operators' table, by which a lost reply is settled.
+    /// One edit of the operators' table. A client whose reply was lost uses it to find out whether
+    /// the edit was committed.
     EditId
 );
 id_type!(
-    /// One life of a process: a restart has another.
+    /// One run of a process: each restart gets a new one.
     IncarnationId
 );
--- a/crates/core/src/request_rate.rs
+++ b/crates/core/src/request_rate.rs
@@ -1,4 +1,4 @@
-//! Requests a second.
+//! A rate in requests per second.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,22 +9,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, thiserror::Error)]
 pub struct RequestRateError;
 
-/// Requests a second: finite, and not negative.
+/// A rate in requests per second. It is finite and not negative.
 #[derive(Debug, Clone, Copy, Default, PartialEq, PartialOrd)]
 pub struct RequestRate {
     per_s: f64,
 }
 
 impl RequestRate {
-    /// So many requests a second.
+    /// Creates a rate from requests per second.
     ///
     /// # Errors
-    /// Fails when that is no number, infinite or negative.
+    /// Fails when `per_s` is NaN, infinite or negative.
     pub fn from_per_s(per_s: f64) -> Result<Self, RequestRateError> {
         if per_s.is_finite() && per_s >= 0.0 { Ok(Self { per_s }) } else { Err(RequestRateError) }
     }
 
-    /// How many in a second.
+    /// The rate in requests per second.
     pub const fn per_s(self) -> f64 {
         self.per_s
     }
--- a/crates/core/src/response_digest.rs
+++ b/crates/core/src/response_digest.rs
@@ -1,23 +1,23 @@
-//! A digest by which an answer is known to be whole.
+//! A digest that shows whether a response arrived complete.
 
 use std::fmt;
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// A running digest over the bytes of an answer's chunks, in order.
+/// An incremental digest of the bytes of a response's chunks, in order.
 ///
-/// It guards against lost, doubled or foreign chunks, not against an attacker:
-/// the connection has been authenticated before the first chunk.
+/// It detects lost, duplicated and misrouted chunks. It is no protection against an attacker:
+/// the connection is authenticated before the first chunk.
 #[derive(Default, Clone)]
 pub struct ResponseDigest(Xxh3);
 
 impl ResponseDigest {
-    /// Takes in the next chunk.
+    /// Adds the next chunk.
     pub fn update(&mut self, chunk: &[u8]) {
         self.0.update(chunk);
     }
 
-    /// The digest of all chunks so far.
+    /// The digest of all chunks added so far.
     pub fn value(&self) -> u64 {
         self.0.digest()
     }
--- a/crates/core/src/store_version.rs
+++ b/crates/core/src/store_version.rs
@@ -6,18 +6,18 @@
 
 /// The version of the platform's store at some moment. It grows with each write.
 ///
-/// Numbers alone say nothing across eras: when the store comes back from a copy, it gives numbers out
-/// again that it had given to other writes. So a version of a later era is later, whatever its number.
+/// Numbers can only be compared within one era: a store restored from a copy assigns numbers again that
+/// it had assigned to other writes. A version of a later era is therefore later, whatever its number.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct StoreVersion {
-    /// The era of the store that gave the number out; 0 where that was not told.
+    /// The era in which the store assigned the number; 0 where the store did not report it.
     pub era: StoreEra,
-    /// Its number in that era.
+    /// The number within that era.
     pub number: u64,
 }
 
 impl StoreVersion {
-    /// A version of an era that is not known.
+    /// Creates a version whose era is unknown.
     pub fn of(number: u64) -> Self {
         Self { era: StoreEra::default(), number }
     }
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -1,4 +1,4 @@
-//! What a request can be sent to.
+//! Targets of requests.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,20 +14,20 @@
 
 const SERVICE_PREFIX: &str = "service:";
 
-/// Why a text names no target.
+/// Why a text is not a valid target.
 #[derive(Debug, Clone, PartialEq, Eq, Display, thiserror::Error)]
 pub enum TargetError {
-    /// the name after 'service:' is not a name
+    /// the name after 'service:' is not valid
     Service(#[from] NameError),
-    /// neither 'service:NAME' nor a model version
+    /// the target is neither 'service:NAME' nor a model version
     Version(#[from] ModelVersionError),
 }
 
-/// What a request can be sent to: a model version or a plain service.
+/// The target of a request: a model version or a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum Target {
-    /// A version of a model, served by engines; written `model@version`.
+    /// A version of a model, served by inference engines; written `model@version`.
     Version(ModelVersion),
     /// A plain service; written `service:name`.
     Service(ServiceName),
--- a/crates/core/src/upstream_incarnation.rs
+++ b/crates/core/src/upstream_incarnation.rs
@@ -1,4 +1,4 @@
-//! One start of an upstream.
+//! The identity of one run of an upstream's process.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,41 +10,41 @@
 use crate::NumberError;
 use crate::StartTime;
 
-/// What stands between the id and the time in a start's text; it is in no id.
+/// Separates the id from the start time in text form. Names cannot contain it.
 const SEPARATOR: char = '@';
 
-/// Why a text names no start.
+/// Why a text is not a valid incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Display, thiserror::Error)]
 pub enum UpstreamIncarnationError {
-    /// the id of a start: {0}
+    /// invalid upstream id: {0}
     Instance(NameError),
-    /// the time of a start: {0}
+    /// invalid start time: {0}
     Started(NumberError),
 }
 
-/// One start of an upstream.
+/// One incarnation of an upstream: one run of its process.
 ///
-/// An upstream may start again under the id that it had. It then holds and knows nothing of
-/// before, so everything that is believed of an upstream is kept by its start: what was
-/// believed of an earlier one is simply not found for a later one.
+/// An upstream may restart under the same id and then has lost all its state. State cached about
+/// an upstream is therefore keyed by incarnation, so that state of an earlier incarnation is never
+/// applied to a later one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct UpstreamIncarnation {
-    /// The id that it has in the list of upstreams.
+    /// The id in the list of upstreams.
     pub instance: InstanceId,
-    /// When it started, by its own clock, if it says so.
+    /// When it started, by its own clock, if it reports that.
     pub started: Option<StartTime>,
 }
 
 impl UpstreamIncarnation {
-    /// Whether this start is known to be later than another of the same upstream.
+    /// Whether this incarnation is known to be later than `other`, of the same upstream.
     pub fn is_later_than(&self, other: &Self) -> bool {
         self.instance == other.instance
-            && matches!((self.started, other.started), (Some(own), Some(other)) if own > other)
+            && matches!((self.started, other.started), (Some(ours), Some(theirs)) if ours > theirs)
     }
 }
 
 impl From<InstanceId> for UpstreamIncarnation {
-    /// A start whose time is not known.
+    /// Creates an incarnation whose start time is unknown.
     fn from(instance: InstanceId) -> Self {
         Self { instance, started: None }
     }
