--- a/crates/table/src/address.rs
+++ b/crates/table/src/address.rs
@@ -1,4 +1,4 @@
-//! Where a cell is.
+//! Addresses of cells.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,26 +12,27 @@
 use crate::Column;
 
 const SEPARATOR: char = '/';
-/// Stands for the target in the address of a workspace's own columns.
+/// Replaces the target in the address of a column that belongs to a whole workspace.
 pub(crate) const WHOLE_WORKSPACE: &str = "*";
 
-/// Where a cell is: `workspace/target/column`, or `workspace/*/column`.
+/// The address of a cell: `workspace/target/column`, or `workspace/*/column`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct CellAddress {
     /// The row's workspace.
     pub workspace: WorkspaceName,
-    /// The row's target; none for a workspace's own columns.
+    /// The row's target; `None` for the columns of a whole workspace.
     pub target: Option<Target>,
     /// The column.
     pub column: Column,
 }
 
 impl CellAddress {
-    /// Checks that the column belongs to the kind of row.
+    /// Checks that the column exists in this kind of row.
     ///
     /// # Errors
-    /// Fails when a workspace's column is asked of a target, or the reverse.
+    /// Fails when a column of a whole workspace is addressed with a target, or a column of a
+    /// target without one.
     pub fn check(&self) -> Result<(), CellError> {
         match (self.column.is_workspace_column(), &self.target) {
             (true, Some(_)) => Err(CellError::WorkspaceColumn(self.column.to_string())),
--- a/crates/table/src/column.rs
+++ b/crates/table/src/column.rs
@@ -1,4 +1,4 @@
-//! The columns of the table.
+//! The columns of the operators' table.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,8 +10,8 @@
 
 macro_rules! columns {
     ($($(#[$doc:meta])* $name:ident = $text:literal,)*) => {
-        /// A column of the table. The first group belongs to rows of a target,
-        /// the last two to a workspace as a whole.
+        /// A column of the table. `KeyDigest` and `QualityTargetPercent` belong to a whole
+        /// workspace, all others to a row of a target.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum Column {
@@ -19,7 +19,7 @@
         }
 
         impl Column {
-            /// Every column, in the order of the sheet.
+            /// All columns, in the order of the CSV export.
             pub const ALL: &[Self] = &[$(Self::$name,)*];
         }
 
@@ -47,33 +47,34 @@
     Allowed = "allowed",
     /// `active`, `draining` or `withdrawn`.
     State = "state",
-    /// The version's part of its model's new work, against its siblings.
+    /// The version's share of the new requests for its model, relative to the weights of the
+    /// model's other versions.
     Weight = "weight",
-    /// The most of its model's new work that the version may take, in percent.
+    /// The maximum share of the new requests for its model that the version gets, in percent.
     RampPercent = "ramp_percent",
-    /// The most requests in progress over the whole fleet; 0 means no limit.
+    /// The maximum number of requests in progress, fleet-wide; 0 means no limit.
     MaxInFlightRequests = "max_in_flight_requests",
-    /// The most requests a second over the whole fleet; 0 means no limit.
+    /// The maximum rate in requests per second, fleet-wide; 0 means no limit.
     MaxRequestsPerS = "max_requests_per_s",
-    /// The most tokens a second over the whole fleet; 0 means no limit.
+    /// The maximum rate in tokens per second, fleet-wide; 0 means no limit.
     MaxTokensPerS = "max_tokens_per_s",
-    /// What a thousand tokens cost, in millionths of the currency unit.
+    /// The price of 1,000 tokens, in millionths of the operators' currency unit.
     CostMicrosPer1kTokens = "cost_micros_per_1k_tokens",
     /// Whether calls may be repeated: `yes`, or `no` for all callers.
     Repeatable = "repeatable",
-    /// The place in the cascade of models, from 1, cheapest first; 0 means none.
+    /// The position in the cascade of models, from 1, cheapest first; 0 means not in the cascade.
     CascadePlace = "cascade_place",
     /// How often the guard's hold of the version was cleared; `stallhoist hold clear`
-    /// raises it.
+    /// increments it.
     GuardResets = "guard_resets",
     /// The SHA-256 of the workspace's bearer key.
     KeyDigest = "key_digest",
-    /// The share of answers that must be good, in percent.
+    /// The minimum share of good responses, in percent.
     QualityTargetPercent = "quality_target_percent",
 }
 
 impl Column {
-    /// Whether the column belongs to the workspace as a whole.
+    /// Whether the column belongs to a whole workspace, not to a row of a target.
     pub fn is_workspace_column(self) -> bool {
         matches!(self, Self::KeyDigest | Self::QualityTargetPercent)
     }
--- a/crates/table/src/edit.rs
+++ b/crates/table/src/edit.rs
@@ -1,4 +1,4 @@
-//! An edit: cells, and the values expected to stand in them.
+//! Edits of the table, with the values that the edited cells are expected to hold.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,23 +10,24 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CellChange {
-    /// Which cell.
+    /// The address of the cell.
     pub address: CellAddress,
-    /// What it is expected to hold; empty for a cell of a row that is not there.
+    /// The value that the cell must hold before the edit; empty for a cell of a missing row.
     pub expect: String,
-    /// What it shall hold.
+    /// The value to write.
     pub value: String,
 }
 
-/// An edit of the table, applied whole or not at all.
+/// An edit of the table, applied atomically.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Edit {
-    /// The edit's identity, by which a lost reply is settled.
+    /// The id of the edit. A client whose reply was lost uses it to find out whether the edit was
+    /// committed.
     pub id: EditId,
-    /// Who made it, as the operators' endpoint knows.
+    /// The author, as identified by the operators' endpoint.
     #[serde(default)]
     pub author: String,
-    /// The cells.
+    /// The changed cells.
     pub cells: Vec<CellChange>,
 }
--- a/crates/table/src/error.rs
+++ b/crates/table/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a cell, an edit or a sheet.
+//! Errors in cells, edits and sheets.
 
 use displaydoc::Display;
 use serde::Deserialize;
@@ -8,76 +8,76 @@
 
 use crate::CellAddress;
 
-/// What is wrong with a cell.
+/// Why a cell's address or value is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Display, thiserror::Error)]
 pub enum CellError {
     /// there is no column '{0}'
     UnknownColumn(String),
-    /// '{value}' does not fit: {expected} is expected
+    /// invalid value '{value}': expected {expected}
     BadValue {
-        /// What was given.
+        /// The invalid value.
         value: String,
-        /// What would be right.
+        /// A description of valid values.
         expected: &'static str,
     },
-    /// column '{0}' belongs to a workspace as a whole: write '*' for the target
+    /// column '{0}' belongs to a whole workspace: write '*' for the target
     WorkspaceColumn(String),
     /// column '{0}' belongs to a target: name a model version or a service
     TargetColumn(String),
-    /// a cell is written WORKSPACE/TARGET/COLUMN, with '*' for a workspace's own columns
+    /// a cell's address is WORKSPACE/TARGET/COLUMN, with '*' as the target for a column of a whole workspace
     BadAddress,
-    /// bad workspace name
+    /// invalid workspace name
     Workspace(#[from] NameError),
-    /// bad target
+    /// invalid target
     Target(#[from] TargetError),
 }
 
-/// A cell that does not hold what its editor expected to replace.
+/// A cell whose value is not the one that the edit expects.
 #[derive(Debug, Clone, PartialEq, Eq, Display, thiserror::Error, Serialize, Deserialize)]
 #[displaydoc(
     "{address} holds '{found}', not the expected '{expected}'; '{wanted}' was not written"
 )]
 pub struct CellConflict {
-    /// Which cell.
+    /// The address of the cell.
     pub address: CellAddress,
-    /// What the editor expected it to hold.
+    /// The value that the edit expects.
     pub expected: String,
-    /// What it holds.
+    /// The value that the cell holds.
     pub found: String,
-    /// What the editor wanted it to hold.
+    /// The value that the edit would have written.
     pub wanted: String,
 }
 
-/// Why an edit was not applied. Nothing of it was.
+/// Why an edit was not applied. No part of a failed edit takes effect.
 #[derive(Debug, Clone, PartialEq, Eq, Display, thiserror::Error)]
 pub enum EditError {
     /// the edit changes no cell
     Empty,
     /// cell {0}: {1}
     Cell(CellAddress, CellError),
-    /// cells hold other values than the edit expects to replace
+    /// some cells do not hold the values that the edit expects
     Conflict(Vec<CellConflict>),
-    /// the edit was made for revision {expected}, this table is at {found}
+    /// the edit produces revision {expected} and does not follow the table's revision {found}
     WrongRevision {
-        /// The revision the edit follows.
+        /// The revision that the edit produces.
         expected: u64,
-        /// The table's revision.
+        /// The current revision of the table.
         found: u64,
     },
 }
 
-/// Why a sheet in CSV was not taken.
+/// Why a CSV sheet was rejected.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum SheetError {
-    /// the sheet is not CSV
+    /// the sheet is not valid CSV
     Csv(#[from] csv::Error),
     /// line {line}: {cause}
     Cell {
-        /// The line of the sheet, from 1.
+        /// The line number in the sheet, from 1.
         line: u64,
-        /// What is wrong there.
+        /// The error in the cell.
         cause: CellError,
     },
-    /// the first two columns of a sheet are 'workspace' and 'target'
+    /// the first two columns of a sheet must be 'workspace' and 'target'
     Heading,
 }
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,13 +1,15 @@
 //! The operators' table: rows, cells, revisions and edits.
 //!
-//! This crate exists so that an edit means the same wherever it is applied: in
-//! the operator's own check, in the transaction that commits it, and in each
-//! process that hears of it. Applying an edit is a pure function from one table
-//! to the next.
+//! An edit is applied in several places: in the operator's client, which validates it,
+//! in the transaction that commits it, and in each process that receives it. They all
+//! use this crate, so that the result is the same everywhere. Applying an edit is a
+//! pure function from one table to the next.
 //!
-//! Invariants: a table's revision grows by one with each edit; rows are unique
-//! by workspace and target and kept in that order; an edit is applied whole or
-//! not at all.
+//! Invariants: a table's revision grows by one with each edit; rows are unique by
+//! workspace and target and sorted by them; an edit is applied completely or not at
+//! all.
+//!
+//! Read `table` first, then `edit`, `address` and `row`.
 
 mod address;
 mod column;
--- a/crates/table/src/log_entry.rs
+++ b/crates/table/src/log_entry.rs
@@ -1,4 +1,4 @@
-//! An edit with its place in the history.
+//! The log of committed edits.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,9 +9,10 @@
 /// A committed edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// The revision the edit made.
+    /// The revision that the edit produced.
     pub revision: Revision,
-    /// When it was committed, in milliseconds since 1970, by the committer's clock.
+    /// When the edit was committed, in milliseconds since 1970, by the clock of the process that
+    /// committed it.
     pub committed_unix_ms: u64,
     /// The edit.
     pub edit: Edit,
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -1,4 +1,4 @@
-//! A row: one workspace and one target.
+//! The settings of one target in one workspace.
 
 use std::str::FromStr;
 
@@ -16,7 +16,7 @@
 const NO: &str = "no";
 const MAX_PERCENT: u32 = 100;
 
-/// One row: what one workspace may do with one model version or service.
+/// The permissions and limits of one workspace for one model version or service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The workspace.
@@ -25,23 +25,24 @@
     pub target: Target,
     /// Whether the workspace may use it.
     pub allowed: bool,
-    /// Whether the version takes work.
+    /// Whether the version accepts requests.
     pub state: VersionState,
-    /// Its part of its model's new work, against its siblings.
+    /// The version's share of the new requests for its model, relative to the weights of the
+    /// model's other versions.
     pub weight: u32,
-    /// The most of its model's new work it may take, in percent.
+    /// The maximum share of the new requests for its model that the version gets, in percent.
     pub ramp_percent: u32,
-    /// The most requests in progress over the whole fleet; 0 means no limit.
+    /// The maximum number of requests in progress, fleet-wide; 0 means no limit.
     pub max_in_flight_requests: u32,
-    /// The most requests a second over the whole fleet; 0 means no limit.
+    /// The maximum rate in requests per second, fleet-wide; 0 means no limit.
     pub max_requests_per_s: u32,
-    /// The most tokens a second over the whole fleet; 0 means no limit.
+    /// The maximum rate in tokens per second, fleet-wide; 0 means no limit.
     pub max_tokens_per_s: u32,
-    /// What a thousand tokens cost.
+    /// The price of 1,000 tokens.
     pub cost_micros_per_1k_tokens: CostMicros,
     /// Whether calls may be repeated.
     pub repeatable: bool,
-    /// The place in the cascade of models, from 1; 0 means none.
+    /// The position in the cascade of models, from 1, cheapest first; 0 means not in the cascade.
     pub cascade_place: u32,
     /// How often the guard's hold of the version was cleared.
     #[serde(default)]
@@ -49,7 +50,7 @@
 }
 
 impl Row {
-    /// The row an edit starts from when none is there: nothing is allowed yet.
+    /// Creates the row that an edit of a missing row starts from. It allows nothing.
     pub fn new(workspace: WorkspaceName, target: Target) -> Self {
         Self {
             workspace,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// What a cell of the row shows; empty for a workspace's own columns.
+    /// The text of a cell; empty for the columns of a whole workspace.
     pub fn cell(&self, column: Column) -> String {
         match column {
             Column::Allowed => yes_or_no(self.allowed),
@@ -86,10 +87,10 @@
         }
     }
 
-    /// Writes a cell of the row.
+    /// Sets a cell from its text.
     ///
     /// # Errors
-    /// Fails when the value does not fit the column.
+    /// Fails when the value is invalid for the column, or the column belongs to a whole workspace.
     pub fn set_cell(&mut self, column: Column, value: &str) -> Result<(), CellError> {
         match column {
             Column::Allowed => self.allowed = parse_yes_or_no(value)?,
--- a/crates/table/src/sheet.rs
+++ b/crates/table/src/sheet.rs
@@ -1,4 +1,4 @@
-//! The table as a sheet in CSV.
+//! CSV export and import of the table.
 
 use stallhoist_core::Target;
 use stallhoist_core::WorkspaceName;
@@ -15,11 +15,11 @@
 const TARGET_HEADING: &str = "target";
 const KEY_COLUMNS: usize = 2;
 
-/// The table as CSV: a heading, then a line a row; `*` stands for the target in a
-/// workspace's own line.
+/// Writes the table as CSV: a header line, then one line for each row. In the line of a whole
+/// workspace, the target is `*`.
 ///
 /// # Errors
-/// Fails only when the CSV writer does.
+/// Fails only when the CSV writer fails.
 pub fn to_csv(table: &Table) -> Result<String, SheetError> {
     let mut writer = csv::Writer::from_writer(Vec::new());
     let headings = Column::ALL.iter().map(ToString::to_string);
@@ -39,11 +39,12 @@
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// The cells in which a sheet differs from the table, as changes that expect what
-/// the table holds now. Empty cells are left as they are.
+/// Returns a change for each cell whose value in the sheet differs from the table. Each change
+/// expects the cell's current value. Empty cells of the sheet change nothing.
 ///
 /// # Errors
-/// Fails on anything but a sheet, naming the line.
+/// Fails when the text is not CSV, its header is wrong or a cell's address is invalid. Errors in
+/// cells include the line number. Values are validated only when the changes are applied.
 pub fn changes_from_csv(table: &Table, text: &str) -> Result<Vec<CellChange>, SheetError> {
     let mut reader = csv::Reader::from_reader(text.as_bytes());
     let columns = read_headings(reader.headers()?)?;
@@ -52,8 +53,8 @@
         let record = record?;
         let line = record.position().map_or(0, csv::Position::line);
         let in_line = |cause| SheetError::Cell { line, cause };
-        let found = row_changes(table, &columns, &record).map_err(in_line)?;
-        changes.extend(found);
+        let row_changes = read_row(table, &columns, &record).map_err(in_line)?;
+        changes.extend(row_changes);
     }
     Ok(changes)
 }
@@ -66,7 +67,7 @@
     headings.iter().skip(KEY_COLUMNS).map(|name| name.parse().map_err(in_heading)).collect()
 }
 
-fn row_changes(
+fn read_row(
     table: &Table,
     columns: &[Column],
     record: &csv::StringRecord,
--- a/crates/table/src/state.rs
+++ b/crates/table/src/state.rs
@@ -1,4 +1,4 @@
-//! Whether a version takes work.
+//! Whether a version accepts requests.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,16 +8,16 @@
 
 use crate::CellError;
 
-/// Whether a version takes work.
+/// Whether a version accepts requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VersionState {
-    /// Takes new work.
+    /// Accepts all requests.
     #[default]
     Active,
-    /// Takes only work of sessions that started on it.
+    /// Accepts only requests of sessions that started on it.
     Draining,
-    /// Takes no new work at all, not even of its sessions.
+    /// Accepts no new requests, not even of sessions that started on it.
     Withdrawn,
 }
 
--- a/crates/table/src/table.rs
+++ b/crates/table/src/table.rs
@@ -1,4 +1,4 @@
-//! The table itself, and how an edit makes the next one.
+//! The table, and how edits are applied to it.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -22,20 +22,20 @@
 pub struct Table {
     /// The revision. It grows by one with each edit.
     pub revision: Revision,
-    /// What belongs to workspaces as a whole, ordered by name.
+    /// The settings of whole workspaces, sorted by name.
     pub workspaces: Vec<WorkspaceRow>,
-    /// The rows, ordered by workspace and target.
+    /// The rows, sorted by workspace and target.
     pub rows: Vec<Row>,
 }
 
 impl Table {
-    /// The workspace that a bearer key of this digest belongs to.
+    /// The workspace whose bearer key has this digest.
     pub fn workspace_of_key(&self, digest: &KeyDigest) -> Option<&WorkspaceRow> {
-        let holds = |row: &&WorkspaceRow| row.key_digest.as_ref() == Some(digest);
-        self.workspaces.iter().find(holds)
+        let has_key = |row: &&WorkspaceRow| row.key_digest.as_ref() == Some(digest);
+        self.workspaces.iter().find(has_key)
     }
 
-    /// A workspace's own row.
+    /// The settings of a whole workspace.
     pub fn workspace(&self, name: &WorkspaceName) -> Option<&WorkspaceRow> {
         let at = self.workspace_index(name).ok()?;
         Some(&self.workspaces[at])
@@ -52,7 +52,7 @@
         self.rows.iter().filter(move |row| &row.workspace == workspace)
     }
 
-    /// What a cell shows; empty where no row is.
+    /// The text of a cell; empty if its row does not exist.
     pub fn cell(&self, address: &CellAddress) -> String {
         match &address.target {
             Some(target) => {
@@ -63,11 +63,11 @@
         .unwrap_or_default()
     }
 
-    /// The next table: this one with the edit applied whole.
+    /// Returns the next revision of the table: this one with the edit applied.
     ///
     /// # Errors
-    /// Fails when the edit is empty, a cell is invalid, or a cell does not hold what
-    /// the edit expects; then nothing is applied.
+    /// Fails when the edit is empty, a cell is invalid, or a cell does not hold the value that
+    /// the edit expects.
     pub fn with_edit(&self, edit: &Edit) -> Result<Self, EditError> {
         if edit.cells.is_empty() {
             return Err(EditError::Empty);
@@ -85,10 +85,11 @@
         Ok(next)
     }
 
-    /// The next table: this one with a committed edit that directly follows it.
+    /// Returns the next revision of the table: this one with a committed edit applied.
     ///
     /// # Errors
-    /// Fails when the entry does not follow this revision or does not apply.
+    /// Fails when the edit does not produce the revision that directly follows this one, or cannot
+    /// be applied.
     pub fn with_log_entry(&self, entry: &LogEntry) -> Result<Self, EditError> {
         if entry.revision != self.revision.next() {
             return Err(EditError::WrongRevision {
--- a/crates/table/src/workspace_row.rs
+++ b/crates/table/src/workspace_row.rs
@@ -1,4 +1,4 @@
-//! What belongs to a workspace as a whole.
+//! The settings of a whole workspace.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,24 +10,24 @@
 use crate::row::bad_value;
 use crate::row::parse_percent;
 
-/// What belongs to a workspace as a whole.
+/// The settings of a whole workspace.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkspaceRow {
     /// The workspace.
     pub workspace: WorkspaceName,
-    /// The digest of its bearer key; none lets nobody in.
+    /// The digest of its bearer key; without one, all callers are rejected.
     pub key_digest: Option<KeyDigest>,
-    /// The share of answers that must be good, in percent.
+    /// The minimum share of good responses, in percent.
     pub quality_target_percent: u32,
 }
 
 impl WorkspaceRow {
-    /// A workspace that nobody can use yet.
+    /// Creates a workspace without a key, so that no caller can use it yet.
     pub fn new(workspace: WorkspaceName) -> Self {
         Self { workspace, key_digest: None, quality_target_percent: 0 }
     }
 
-    /// What a cell shows; empty for a target's columns.
+    /// The text of a cell; empty for the columns of a target.
     pub fn cell(&self, column: Column) -> String {
         match column {
             Column::KeyDigest => {
@@ -38,10 +38,10 @@
         }
     }
 
-    /// Writes a cell.
+    /// Sets a cell from its text.
     ///
     /// # Errors
-    /// Fails when the value does not fit the column, or the column is a target's.
+    /// Fails when the value is invalid for the column, or the column belongs to a target.
     pub fn set_cell(&mut self, column: Column, value: &str) -> Result<(), CellError> {
         match column {
             Column::KeyDigest if value.is_empty() => self.key_digest = None,
