--- a/crates/entry/src/billing.rs
+++ b/crates/entry/src/billing.rs
@@ -1,9 +1,8 @@
-//! Bill records on their way to the ledger.
+//! Keeps bill records until they are written to the ledger.
 //!
-//! The serving sidecar holds a record first; the entry holds it next and asks a
-//! sidecar in another zone to hold it too, before the caller sees the end of the
-//! answer. The entry writes batches to the ledger and then tells the holders to drop
-//! theirs. Records of an entry that is gone come back from the sidecars as orphans.
+//! A record is held by the serving sidecar, then by the entry, and by a sidecar in another availability zone, before
+//! the end of the response is sent to the caller. The entry writes batches to the ledger and then tells the holders
+//! to drop their copies. Sidecars send the records of an entry that is gone to another entry as orphans.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -28,7 +27,7 @@
 use crate::mesh::Link;
 use crate::shared::Shared;
 
-/// The records of one entry, and who else holds each.
+/// The bill records of this entry, and the hosts that hold a copy of each.
 #[derive(Debug, Default)]
 pub(crate) struct PendingBills {
     pub(crate) held: UnsettledBills,
@@ -36,7 +35,7 @@
 }
 
 impl PendingBills {
-    fn take(&mut self, now: MonoTime, record: BillRecord, held_by: &HostId) {
+    fn add(&mut self, now: MonoTime, record: BillRecord, held_by: &HostId) {
         self.add_holder(record.request, held_by);
         self.held.hold(now, record);
     }
@@ -48,57 +47,63 @@
         }
     }
 
-    /// The ledger has these: forgets them and gives who is to be told of which.
+    /// Removes records that were written to the ledger. Returns the attempts to be dropped by each holder.
     fn settle(&mut self, attempts: &[AttemptId]) -> HashMap<HostId, Vec<AttemptId>> {
         self.held.settle(attempts);
-        let mut told: HashMap<HostId, Vec<AttemptId>> = HashMap::new();
+        let mut settled: HashMap<HostId, Vec<AttemptId>> = HashMap::new();
         for attempt in attempts {
             let holders = self.holders.get(&attempt.request).cloned().unwrap_or_default();
             for host in holders {
-                told.entry(host).or_default().push(*attempt);
+                settled.entry(host).or_default().push(*attempt);
             }
-            // A later attempt's record that came meanwhile has the same holders and more.
+            // The record of a later attempt may have arrived meanwhile. It has at least the same holders.
             if !self.held.holds(&attempt.request) {
                 self.holders.remove(&attempt.request);
             }
         }
-        told
+        settled
     }
 }
 
-/// Takes in the record of an answer that is whole, before its end goes out.
-pub(crate) async fn take_in(shared: &Shared, record: BillRecord, served_by: &HostId) {
+/// Stores the record of a complete response, and waits until a neighbour holds a copy or the timeout passes. Must
+/// complete before the end of the response is sent.
+pub(crate) async fn hold_record(shared: &Shared, record: BillRecord, served_by: &HostId) {
     let request = record.request;
-    shared.bills.lock().take(shared.now(), record.clone(), served_by);
+    shared.bills.lock().add(shared.now(), record.clone(), served_by);
     let Some((host, neighbour)) = neighbour(shared, served_by) else {
         shared.metrics.bills_with_one_holder.inc();
         return;
     };
-    let told = neighbour.waiters.lock().add_bill(request);
+    let confirmation = neighbour.waiters.lock().add_bill(request);
     let hold = BillHold { record: Some(bill_to_wire(&record)) };
     let is_sent = neighbour.try_send(Body::BillHold(hold)).is_ok();
     shared.bills.lock().add_holder(request, &host);
-    let patience = Duration::from_millis(shared.settings.bill.hold_timeout_ms);
-    if !is_sent || !matches!(tokio::time::timeout(patience, told).await, Ok(Ok(()))) {
+    let timeout = Duration::from_millis(shared.settings.bill.hold_timeout_ms);
+    if !is_sent || !matches!(tokio::time::timeout(timeout, confirmation).await, Ok(Ok(()))) {
         shared.metrics.bills_with_one_holder.inc();
     }
 }
 
-/// A connected sidecar that does not share its fate with the one that served: in
-/// another zone than it if there is one, else any other.
+/// A random connected sidecar in another availability zone than the one that served, or else any other sidecar, so that
+/// one failure does not lose both copies.
 fn neighbour(shared: &Shared, served_by: &HostId) -> Option<(HostId, Arc<Link>)> {
     let links = shared.links.all();
     let served_in = links.iter().find(|(host, _)| host == served_by).and_then(|(_, l)| l.zone());
-    let is_fit = |host: &HostId, link: &Link| host != served_by && link.sender().is_some();
-    let fit: Vec<_> = links.into_iter().filter(|(host, link)| is_fit(host, link)).collect();
-    let far: Vec<_> = fit.iter().filter(|(_, link)| link.zone() != served_in).collect();
-    if far.is_empty() {
-        return (!fit.is_empty()).then(|| fit[rand::random_range(0..fit.len())].clone());
+    let is_eligible = |host: &HostId, link: &Link| host != served_by && link.sender().is_some();
+    let eligible: Vec<_> =
+        links.into_iter().filter(|(host, link)| is_eligible(host, link)).collect();
+    let remote: Vec<_> = eligible.iter().filter(|(_, link)| link.zone() != served_in).collect();
+    if remote.is_empty() {
+        return (!eligible.is_empty())
+            .then(|| eligible[rand::random_range(0..eligible.len())].clone());
     }
-    Some(far[rand::random_range(0..far.len())].clone())
+    Some(remote[rand::random_range(0..remote.len())].clone())
 }
 
-/// Takes over records whose entry is gone.
+/// Adds records whose entry is gone, sent by a sidecar that holds them.
+///
+/// # Errors
+/// Fails if a record cannot be decoded.
 pub(crate) fn adopt(
     shared: &Shared,
     from: &HostId,
@@ -106,13 +111,13 @@
 ) -> Result<(), WireError> {
     let now = shared.now();
     for record in records {
-        shared.bills.lock().take(now, bill_from_wire(record)?, from);
+        shared.bills.lock().add(now, bill_from_wire(record)?, from);
     }
     Ok(())
 }
 
-/// Writes what is held to the ledger until nothing is left or a write fails. A batch
-/// keeps its identity over tries, so `unconfirmed` is handed back in.
+/// Writes the held records to the ledger until none is left or a write fails. A batch whose write failed is returned in
+/// `unconfirmed` and retried by the next call, since it must keep its identity.
 pub(crate) async fn flush(shared: &Shared, unconfirmed: &mut Option<LedgerBatch>) {
     loop {
         let batch = unconfirmed.take().unwrap_or_else(|| next_batch(shared));
@@ -125,9 +130,9 @@
             return;
         }
         let attempts: Vec<_> = batch.attempts().collect();
-        let told = shared.bills.lock().settle(&attempts);
-        for (host, attempts) in told {
-            tell_settled(shared, &host, &attempts);
+        let settled = shared.bills.lock().settle(&attempts);
+        for (host, attempts) in settled {
+            send_settled(shared, &host, &attempts);
         }
     }
 }
@@ -136,9 +141,9 @@
     LedgerBatch::new(shared.bills.lock().held.oldest(shared.settings.bill.max_batch))
 }
 
-fn tell_settled(shared: &Shared, host: &HostId, attempts: &[AttemptId]) {
+fn send_settled(shared: &Shared, host: &HostId, attempts: &[AttemptId]) {
     let attempts = attempts.iter().filter_map(|attempt| attempt_to_wire(*attempt)).collect();
-    // A holder that does not hear it offers the records again, and hears it then.
+    // A holder that misses this message sends its records again as orphans, and is then told again.
     if let Some(link) = shared.links.get(host) {
         let _ = link.try_send(Body::BillSettled(BillSettled { attempts }));
     }
--- a/crates/entry/src/callers/cascade.rs
+++ b/crates/entry/src/callers/cascade.rs
@@ -20,29 +20,29 @@
 use crate::claiming;
 use crate::learners;
 use crate::ratings;
+use crate::request::BufferedResponse;
 use crate::request::EndKind;
-use crate::request::Ending;
 use crate::request::Execution;
 use crate::request::Order;
-use crate::request::Prior;
-use crate::request::WholeAnswer;
+use crate::request::PriorUsage;
+use crate::request::RequestEnd;
 use crate::shared::Shared;
 
 /// What one leg came to.
 struct Leg {
     order: Order,
-    answer: WholeAnswer,
+    answer: BufferedResponse,
     served_by: Option<HostId>,
-    prior: Prior,
+    prior: PriorUsage,
 }
 
 impl Leg {
     async fn run(shared: &Arc<Shared>, order: Order) -> Self {
         let mut execution = Execution::new(Arc::clone(shared), order);
-        let answer = execution.run_whole().await;
+        let answer = execution.run_buffered().await;
         run::learn(shared, &execution);
         let bill = execution.bill();
-        let prior = Prior {
+        let prior = PriorUsage {
             usage: bill.map(|bill| bill.usage).unwrap_or_default(),
             cost: bill.map(|bill| bill.cost_micros).unwrap_or_default(),
             attempts: execution.order.prior.attempts + answer.ending.attempts,
@@ -94,7 +94,7 @@
     let order = Order { prior: one.prior, ..second };
     let two = Leg::run(shared, order).await;
     if let Some(host) = &two.served_by {
-        ratings::sample(shared, &two.order, host, &two.answer.parts);
+        ratings::sample(shared, &two.order, host, &two.answer.chunks);
     }
     // The first leg's word stands where it is worth more: a whole answer, or that the
     // request may have run, which a refusal of the second cannot undo.
@@ -114,7 +114,7 @@
     if !leg.order.is_repeatable {
         return true;
     }
-    let text = ratings::answer_text(&leg.answer.parts, leg.order.is_streamed);
+    let text = ratings::answer_text(&leg.answer.chunks, leg.order.is_streamed);
     let (Some(text), Some(host)) = (text, &leg.served_by) else {
         return false;
     };
@@ -136,26 +136,26 @@
         session: run::session(shared, &leg.order, leg.served_by),
         ..Marks::default()
     };
-    let WholeAnswer { ending, head, parts } = leg.answer;
+    let BufferedResponse { ending, head, chunks } = leg.answer;
     if !matches!(ending.kind, EndKind::Whole) {
         return run::failure(&ending, marks.held(place));
     }
     if leg.order.is_streamed {
-        return events(parts, marks.held(place));
+        return events(chunks, marks.held(place));
     }
     let head = head.unwrap_or_default();
     Reply::Whole {
         status: u16::try_from(head.http_status).unwrap_or(200),
         content_type: run::content_type(head.content_type),
-        body: parts.concat(),
-        outcome: Ending::outcome(&ending),
+        body: chunks.concat(),
+        outcome: RequestEnd::outcome(&ending),
         marks: marks.held(place),
     }
 }
 
 /// The kept events, and the end mark, since the answer is known to be whole.
-fn events(parts: Vec<Bytes>, marks: Marks) -> Reply {
-    let parts = parts.into_iter().map(|part| run::event(&part));
-    let all: Vec<Event> = parts.chain([Event::data(run::END_MARK)]).collect();
+fn events(chunks: Vec<Bytes>, marks: Marks) -> Reply {
+    let chunks = chunks.into_iter().map(|part| run::event(&part));
+    let all: Vec<Event> = chunks.chain([Event::data(run::END_MARK)]).collect();
     Reply::Events { events: Box::pin(stream::iter(all)), marks }
 }
--- a/crates/entry/src/callers/chat.rs
+++ b/crates/entry/src/callers/chat.rs
@@ -33,7 +33,7 @@
 use crate::learners;
 use crate::learners::WorkKind;
 use crate::request::Order;
-use crate::request::Prior;
+use crate::request::PriorUsage;
 use crate::session::SessionToken;
 use crate::shared::Shared;
 
@@ -177,7 +177,7 @@
             idempotency_key: self.headers.idempotency_key.clone(),
             work_key,
             task: self.headers.task.clone(),
-            prior: Prior::default(),
+            prior: PriorUsage::default(),
             arrived: self.arrived,
             deadline: self.deadline,
         }
@@ -210,7 +210,7 @@
         }
         is_known = true;
         if row.allowed && row.state == VersionState::Active {
-            versions.push(holds::facts(shared, table, row, version));
+            versions.push(holds::version_candidate(shared, table, row, version));
         }
     }
     if !is_known {
--- a/crates/entry/src/callers/run.rs
+++ b/crates/entry/src/callers/run.rs
@@ -21,9 +21,9 @@
 use crate::metrics::OutcomeLabel;
 use crate::ratings;
 use crate::request::EndKind;
-use crate::request::Ending;
 use crate::request::Execution;
 use crate::request::Order;
+use crate::request::RequestEnd;
 use crate::request::Step;
 use crate::session::SessionToken;
 use crate::shared::Shared;
@@ -59,7 +59,7 @@
 
 impl Run {
     async fn whole(mut self, shared: &Arc<Shared>, marks: Marks) -> Reply {
-        let answer = self.execution.run_whole().await;
+        let answer = self.execution.run_buffered().await;
         self.ended(shared, &answer.ending).await;
         if !matches!(answer.ending.kind, EndKind::Whole) {
             return failure(&answer.ending, marks.held(self.place));
@@ -67,14 +67,14 @@
         let served_by = self.execution.served_by().cloned();
         learn(shared, &self.execution);
         if let Some(host) = &served_by {
-            ratings::sample(shared, &self.execution.order, host, &answer.parts);
+            ratings::sample(shared, &self.execution.order, host, &answer.chunks);
         }
         let marks = Marks { session: session(shared, &self.execution.order, served_by), ..marks };
         let head = answer.head.unwrap_or_default();
         Reply::Whole {
             status: u16::try_from(head.http_status).unwrap_or(200),
             content_type: content_type(head.content_type),
-            body: answer.parts.concat(),
+            body: answer.chunks.concat(),
             outcome: Outcome::Completed,
             marks: marks.held(self.place),
         }
@@ -85,7 +85,7 @@
         let first = loop {
             match self.execution.next().await {
                 Step::Head(_) => {}
-                Step::Part(part) => break part,
+                Step::Chunk(part) => break part,
                 Step::End(ending) => {
                     self.ended(shared, &ending).await;
                     return match ending.kind {
@@ -95,8 +95,9 @@
                 }
             }
         };
-        let runs_on = self.execution.runs_on().cloned();
-        let marks = Marks { session: session(shared, &self.execution.order, runs_on), ..marks };
+        let upstream_host = self.execution.upstream_host().cloned();
+        let marks =
+            Marks { session: session(shared, &self.execution.order, upstream_host), ..marks };
         let shared = Arc::clone(shared);
         let waited = shared.now().since(self.execution.order.arrived);
         shared.metrics.first_byte_seconds.observe(waited.as_secs_f64());
@@ -105,7 +106,7 @@
             loop {
                 match self.execution.next().await {
                     Step::Head(_) => {}
-                    Step::Part(part) => yield event(&part),
+                    Step::Chunk(part) => yield event(&part),
                     Step::End(ending) => {
                         self.ended(&shared, &ending).await;
                         yield last_event(&ending);
@@ -119,7 +120,7 @@
     }
 
     /// Counts and logs the end, and frees the claim of what did not run.
-    async fn ended(&mut self, shared: &Arc<Shared>, ending: &Ending) {
+    async fn ended(&mut self, shared: &Arc<Shared>, ending: &RequestEnd) {
         let order = &self.execution.order;
         log_end(shared, order, code(&ending.kind), ending.outcome(), ending.attempts);
         if ending.outcome() == Outcome::NotRun
@@ -170,7 +171,7 @@
     }
 }
 
-pub(super) fn failure(ending: &Ending, marks: Marks) -> Reply {
+pub(super) fn failure(ending: &RequestEnd, marks: Marks) -> Reply {
     // What the upstream itself says of a bad request is for the caller.
     if let EndKind::UpstreamError { http_status, content_type: kind, body } = &ending.kind
         && (400..500).contains(http_status)
@@ -186,7 +187,7 @@
     Reply::Problem(problem(ending), marks)
 }
 
-fn problem(ending: &Ending) -> Problem {
+fn problem(ending: &RequestEnd) -> Problem {
     let outcome = ending.outcome();
     let code = code(&ending.kind);
     match &ending.kind {
@@ -229,7 +230,7 @@
 }
 
 /// The end mark only after a whole answer; else an error that clients raise.
-fn last_event(ending: &Ending) -> Event {
+fn last_event(ending: &RequestEnd) -> Event {
     match ending.kind {
         EndKind::Whole => Event::data(END_MARK),
         _ => event(&problem(ending).body()),
--- a/crates/entry/src/callers/services.rs
+++ b/crates/entry/src/callers/services.rs
@@ -14,7 +14,7 @@
 use super::headers::CallHeaders;
 use super::problem::Problem;
 use crate::request::Order;
-use crate::request::Prior;
+use crate::request::PriorUsage;
 use crate::shared::Shared;
 
 /// A call of a plain service, as it came.
@@ -70,7 +70,7 @@
         idempotency_key: headers.idempotency_key,
         work_key,
         task: headers.task,
-        prior: Prior::default(),
+        prior: PriorUsage::default(),
         arrived,
         deadline,
     })
--- a/crates/entry/src/holds.rs
+++ b/crates/entry/src/holds.rs
@@ -1,4 +1,4 @@
-//! The guard in an entry: evidence in, holds out.
+//! Feeds the guard with the counts that sidecars report, and applies its holds when a version is chosen.
 
 use stallhoist_core::HostId;
 use stallhoist_core::ModelVersion;
@@ -12,8 +12,11 @@
 
 use crate::shared::Shared;
 
-/// Takes in what a sidecar has counted.
-pub(crate) fn take_evidence(
+/// Records the counts that a sidecar reports, and logs a hold that results from them.
+///
+/// # Errors
+/// Fails if a target cannot be parsed.
+pub(crate) fn record_evidence(
     shared: &Shared,
     host: &HostId,
     evidence: &[Evidence],
@@ -45,9 +48,8 @@
     Ok(())
 }
 
-/// What version choice needs to know of a row: the operators' cells, and the guard's
-/// hold and cap on top of them.
-pub(crate) fn facts(
+/// The data for the choice of a version: the row's weight and ramp, restricted by the guard's hold and cap.
+pub(crate) fn version_candidate(
     shared: &Shared,
     table: &Table,
     row: &Row,
@@ -63,7 +65,8 @@
     }
 }
 
-/// A hold concerns all workspaces, so their clearings are counted together.
+/// The number of times operators cleared the hold of a version. A hold applies to all workspaces, so the counts of
+/// all rows are added up.
 fn resets(table: &Table, version: &ModelVersion) -> u64 {
     let target = Target::Version(version.clone());
     let of_version = table.rows.iter().filter(|row| row.target == target);
--- a/crates/entry/src/mesh/link.rs
+++ b/crates/entry/src/mesh/link.rs
@@ -265,7 +265,7 @@
                 held.serves = serves;
             }
         });
-        holds::take_evidence(shared, &identity.host, &status.evidence)?;
+        holds::record_evidence(shared, &identity.host, &status.evidence)?;
         table_sync::note_holder(shared, &identity.host, revision);
         shared.table.sync_with_peer(sender, revision);
         Ok(())
--- a/crates/entry/src/ratings.rs
+++ b/crates/entry/src/ratings.rs
@@ -1,5 +1,6 @@
-//! A sample of answers is rated by the platform's service, and the rating counted at the
-//! sidecar that served, where all evidence about a version comes together.
+//! Has a sample of the responses rated by the platform's rating service.
+//!
+//! A rating is counted at the sidecar that served the request, which collects all counts about its version.
 
 use std::sync::Arc;
 
@@ -15,15 +16,15 @@
 use crate::request::Order;
 use crate::shared::Shared;
 
-/// Answers with a lower score are poor.
+/// The lowest score of a good response; a lower one is poor.
 const GOOD_SCORE: f64 = 0.5;
 
-/// Has a whole answer rated, if it falls into the sample. The caller does not wait.
-pub(crate) fn sample(shared: &Arc<Shared>, order: &Order, host: &HostId, parts: &[Bytes]) {
+/// Has a complete response rated if it is sampled. Runs in the background, so that the caller does not wait.
+pub(crate) fn sample(shared: &Arc<Shared>, order: &Order, host: &HostId, chunks: &[Bytes]) {
     if !is_sampled(shared, order) {
         return;
     }
-    let Some(answer) = answer_text(parts, order.is_streamed) else {
+    let Some(answer) = answer_text(chunks, order.is_streamed) else {
         return;
     };
     let shared = Arc::clone(shared);
@@ -33,7 +34,7 @@
     });
 }
 
-/// Of a model that may stand in a cascade and is little known, every answer is.
+/// Whether a response is sampled. Every response is, if its model may be used in a cascade and has too few ratings.
 fn is_sampled(shared: &Shared, order: &Order) -> bool {
     let percent = shared.settings.ratings.sample_percent;
     if rand::random_bool((percent / 100.0).clamp(0.0, 1.0)) {
@@ -48,7 +49,7 @@
     may_cascade && shared.learners.lock().learner(&order.kind()).needs_ratings(model)
 }
 
-/// Has an answer rated and counted; whether it is good, if the rater says so.
+/// Has a response rated and counted. Returns whether it is good, or `None` if the rating service did not respond.
 pub(crate) async fn rate(
     shared: &Shared,
     order: &Order,
@@ -73,17 +74,17 @@
     Some(is_good)
 }
 
-/// The text of a chat answer, from its one body or from its events.
-pub(crate) fn answer_text(parts: &[Bytes], is_streamed: bool) -> Option<String> {
+/// The text of a chat response, from its body or from its events.
+pub(crate) fn answer_text(chunks: &[Bytes], is_streamed: bool) -> Option<String> {
     if is_streamed {
-        let texts = parts.iter().filter_map(|part| text_at(part, "delta"));
+        let texts = chunks.iter().filter_map(|chunk| text_at(chunk, "delta"));
         return Some(texts.collect());
     }
-    text_at(&parts.concat(), "message")
+    text_at(&chunks.concat(), "message")
 }
 
-fn text_at(json: &[u8], holder: &str) -> Option<String> {
+fn text_at(json: &[u8], member: &str) -> Option<String> {
     let body: Value = serde_json::from_slice(json).ok()?;
-    let text = body.get("choices")?.get(0)?.get(holder)?.get("content")?;
+    let text = body.get("choices")?.get(0)?.get(member)?.get("content")?;
     Some(text.as_str()?.to_owned())
 }
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -1,4 +1,4 @@
-//! The attempt in progress.
+//! The state of the attempt in progress.
 
 use std::sync::Arc;
 
@@ -15,12 +15,12 @@
 use crate::mesh::AttemptEvent;
 use crate::mesh::Link;
 
-/// The attempt in progress.
+/// The attempt in progress. Dropping it cancels it at the sidecar.
 pub(super) struct Attempt {
     pub(super) id: AttemptId,
     pub(super) host: HostId,
     pub(super) link: Arc<Link>,
-    /// The life of the sidecar that the attempt was sent to.
+    /// The incarnation of the sidecar process that received the attempt.
     pub(super) incarnation: IncarnationId,
     pub(super) events: UnboundedReceiver<AttemptEvent>,
     pub(super) head: Option<ResponseHead>,
@@ -30,15 +30,14 @@
 }
 
 impl Attempt {
-    /// Whether the upstream answers with an error.
+    /// Whether the upstream responded with a status other than 2xx.
     pub(super) fn is_error(&self) -> bool {
         self.head.as_ref().is_some_and(|head| !(200..300).contains(&head.http_status))
     }
 }
 
 impl Drop for Attempt {
-    /// Nobody listens any more: an attempt that runs is cancelled at once, and the kept
-    /// answer of one that is over is freed.
+    /// Cancels the attempt if it still runs; if it has finished, lets the sidecar free the buffered response.
     fn drop(&mut self) {
         self.link.drop_attempt(self.id);
         let cancel = Cancel { attempt: attempt_to_wire(self.id) };
--- a/crates/entry/src/request/attempt_end.rs
+++ b/crates/entry/src/request/attempt_end.rs
@@ -1,4 +1,4 @@
-//! What an attempt has come to.
+//! The result of an attempt that did not produce a complete response.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const SERVER_ERRORS_FROM: u16 = 500;
 
-/// What an attempt has come to, when it goes no further.
+/// Why an attempt ended without a complete response.
 pub(super) enum AttemptEnd {
     Refused { reason: NotRunReason, retry_after: Duration },
     UpstreamError { detail: EndKind },
@@ -18,7 +18,7 @@
 }
 
 impl AttemptEnd {
-    /// The end that a sidecar's refusal is.
+    /// Converts a rejection by the sidecar. An unknown reason code counts as "no upstream".
     pub(super) fn refused(refusal: &Refusal) -> Self {
         Self::Refused {
             reason: NotRunReason::from_code(refusal.reason).unwrap_or(NotRunReason::NoUpstream),
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Whether it is proved that the attempt did not run.
+    /// Whether the attempt provably did not run.
     pub(super) fn is_proved_not_run(&self) -> bool {
         matches!(self, Self::Refused { .. })
     }
 
-    /// Whether the end counts against the upstream and a retry against the budget.
+    /// Whether the attempt counts as a failure of the upstream, and a retry against the retry budget.
     pub(super) fn has_cost(&self) -> bool {
         match self {
             Self::Refused { reason, .. } => *reason == NotRunReason::UpstreamUnreachable,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether no other upstream would say otherwise.
+    /// Whether any other upstream would give the same result, so that a retry is pointless.
     pub(super) fn is_final(&self) -> bool {
         match self {
             Self::Refused { reason, .. } => matches!(
--- a/crates/entry/src/request/execution.rs
+++ b/crates/entry/src/request/execution.rs
@@ -1,4 +1,4 @@
-//! The run of one request: attempts, cuts, resumes, retries, and its one ending.
+//! The state machine of one request: attempts, lost connections, resumes, retries, and exactly one result.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -26,8 +26,8 @@
 use stallhoist_wire::messages::frame::Body;
 
 use super::EndKind;
-use super::Ending;
 use super::Order;
+use super::RequestEnd;
 use super::attempt::Attempt;
 use super::attempt_end::AttemptEnd;
 use super::place::place;
@@ -37,35 +37,35 @@
 use crate::mesh::AttemptEvent;
 use crate::shared::Shared;
 
-/// When to come back after there was nobody to ask.
-const RETRY_AFTER_NOBODY: Duration = Duration::from_secs(1);
+/// The retry delay given to the caller when no upstream is available.
+const RETRY_AFTER_NO_UPSTREAM: Duration = Duration::from_secs(1);
 
-/// What a request hears next.
+/// The next event of a request, as seen by the caller's side.
 #[derive(Debug)]
 pub(crate) enum Step {
-    /// The answer begins; only before the first part, and anew after a retry.
+    /// The response starts. Comes before the first chunk, and again after a retry.
     Head(ResponseHead),
-    /// The next part of the answer.
-    Part(Bytes),
-    /// The end. Nothing follows.
-    End(Ending),
+    /// The next chunk of the response.
+    Chunk(Bytes),
+    /// The request has ended; nothing follows.
+    End(RequestEnd),
 }
 
-/// A whole answer, or why there is none.
+/// A complete response that is held in memory, or the reason why there is none.
 #[derive(Debug)]
-pub(crate) struct WholeAnswer {
-    pub(crate) ending: Ending,
+pub(crate) struct BufferedResponse {
+    pub(crate) ending: RequestEnd,
     pub(crate) head: Option<ResponseHead>,
-    pub(crate) parts: Vec<Bytes>,
+    pub(crate) chunks: Vec<Bytes>,
 }
 
-/// The run of one request. Dropping it cancels what runs.
+/// The execution of one request. Dropping it cancels the attempt in progress.
 pub(crate) struct Execution {
     shared: Arc<Shared>,
     pub(crate) order: Order,
     attempt: Option<Attempt>,
     progress: RequestProgress,
-    /// Counts the request under the limits of its row; none where it has none.
+    /// Counts the request against the limits of its table row; `None` if the row has no limits.
     permit: Option<LimitPermit>,
     avoid: BTreeSet<HostId>,
     served_by: Option<HostId>,
@@ -77,10 +77,10 @@
         shared.retries.lock().request();
         let progress = RequestProgress::new(RequestRules {
             is_repeatable: order.is_repeatable,
-            // The sidecar resumes an answer within its attempt; another one starts anew.
+            // A sidecar can resume a response only within the same attempt; a new attempt starts over.
             is_resumable: false,
             max_attempts: shared.settings.retries.max_attempts,
-            // A sidecar that cannot be reached is not chosen in the first place.
+            // Only connected sidecars are chosen.
             max_connect_failures: 0,
         });
         Self {
@@ -95,68 +95,68 @@
         }
     }
 
-    /// The upstream host whose answer is whole, for the session's token.
+    /// The upstream host that sent the complete response, for the session token.
     pub(crate) fn served_by(&self) -> Option<&HostId> {
         self.served_by.as_ref()
     }
 
-    /// What the whole answer is billed.
+    /// The bill record of the complete response.
     pub(crate) fn bill(&self) -> Option<&BillRecord> {
         self.bill.as_ref()
     }
 
-    /// Runs to the end and gives the whole answer. A part is never given as a whole.
-    pub(crate) async fn run_whole(&mut self) -> WholeAnswer {
+    /// Runs the request to its end and returns the response. Chunks of an attempt that was retried are discarded.
+    pub(crate) async fn run_buffered(&mut self) -> BufferedResponse {
         let mut head = None;
-        let mut parts: Vec<Bytes> = Vec::new();
+        let mut chunks: Vec<Bytes> = Vec::new();
         loop {
             match self.step().await {
                 Step::Head(new) => {
                     head = Some(new);
-                    parts.clear();
+                    chunks.clear();
                 }
-                Step::Part(part) => parts.push(part),
-                Step::End(ending) => return WholeAnswer { ending, head, parts },
+                Step::Chunk(chunk) => chunks.push(chunk),
+                Step::End(ending) => return BufferedResponse { ending, head, chunks },
             }
         }
     }
 
-    /// The next step of an answer whose parts go out as they come.
+    /// Returns the next step of a streamed response. Once a chunk was returned, the request is no longer retried.
     pub(crate) async fn next(&mut self) -> Step {
         let step = self.step().await;
-        if matches!(step, Step::Part(_)) {
+        if matches!(step, Step::Chunk(_)) {
             self.progress.delivered();
         }
         step
     }
 
     /// The upstream host that the attempt in progress runs on.
-    pub(crate) fn runs_on(&self) -> Option<&HostId> {
+    pub(crate) fn upstream_host(&self) -> Option<&HostId> {
         self.attempt.as_ref().map(|attempt| &attempt.host)
     }
 
     async fn step(&mut self) -> Step {
         let deadline = self.shared.clock.instant(self.order.deadline).into();
-        match tokio::time::timeout_at(deadline, self.step_in_time()).await {
+        match tokio::time::timeout_at(deadline, self.step_before_deadline()).await {
             Ok(step) => step,
-            Err(_) => self.give_up(),
+            Err(_) => self.end_at_deadline(),
         }
     }
 
-    /// The deadline has passed: the caller gets its answer now, whatever still runs.
-    fn give_up(&mut self) -> Step {
-        let has_begun = self.attempt.as_ref().is_some_and(|attempt| attempt.head.is_some());
+    /// Ends the request at its deadline, even if an attempt is still running.
+    fn end_at_deadline(&mut self) -> Step {
+        let has_started = self.attempt.as_ref().is_some_and(|attempt| attempt.head.is_some());
         self.attempt = None;
         let kind = if self.progress.may_have_run() {
-            EndKind::DeadlinePassed { has_begun: has_begun || self.progress.is_delivered() }
+            EndKind::DeadlinePassed { has_started: has_started || self.progress.is_delivered() }
         } else {
             let reason = NotRunReason::DeadlinePassed;
-            EndKind::NotRun { reason, retry_after: RETRY_AFTER_NOBODY }
+            EndKind::NotRun { reason, retry_after: RETRY_AFTER_NO_UPSTREAM }
         };
         self.end(kind)
     }
 
-    async fn step_in_time(&mut self) -> Step {
+    async fn step_before_deadline(&mut self) -> Step {
         loop {
             if self.attempt.is_none()
                 && let Err(kind) = self.begin_attempt().await
@@ -167,7 +167,7 @@
                 continue;
             };
             let event = attempt.events.recv().await.unwrap_or(AttemptEvent::LinkLost);
-            match self.take(event).await {
+            match self.handle_event(event).await {
                 Ok(Some(step)) => return step,
                 Ok(None) => {}
                 Err(end) => {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Places the request and sends it.
+    /// Chooses an upstream host and dispatches the request to it.
     async fn begin_attempt(&mut self) -> Result<(), EndKind> {
         if self.permit.is_none() {
             let admitted = limits::admit(&self.shared, &self.order);
@@ -192,17 +192,17 @@
                 return Err(self.not_run(reason, retry_after));
             }
             Choice::NoCandidate => {
-                return Err(self.not_run(NotRunReason::NoUpstream, RETRY_AFTER_NOBODY));
+                return Err(self.not_run(NotRunReason::NoUpstream, RETRY_AFTER_NO_UPSTREAM));
             }
         };
-        let nobody = || EndKind::NotRun {
+        let no_upstream = || EndKind::NotRun {
             reason: NotRunReason::NoUpstream,
-            retry_after: RETRY_AFTER_NOBODY,
+            retry_after: RETRY_AFTER_NO_UPSTREAM,
         };
-        let link = self.shared.links.get(&host).ok_or_else(nobody)?;
-        let connected = link.connected().ok_or_else(nobody)?;
+        let link = self.shared.links.get(&host).ok_or_else(no_upstream)?;
+        let connected = link.connected().ok_or_else(no_upstream)?;
         self.progress.sent();
-        // A later leg of a cascade goes on counting, so that its record stands.
+        // The second model of a cascade continues the numbering, so that its bill record replaces the first.
         let number = AttemptNumber(u64::from(self.order.prior.attempts + self.progress.attempts()));
         let id = AttemptId { request: self.order.request, number };
         let events = link.waiters.lock().add_attempt(id);
@@ -221,26 +221,29 @@
             digest: AnswerDigest::default(),
             error_body: Vec::new(),
         });
-        // A connection that breaks here is noticed as any other cut.
+        // If the connection breaks here, the attempt receives `LinkLost`.
         let _ = connected.sender.send(Body::Dispatch(dispatch)).await;
         Ok(())
     }
 
-    /// Takes an event; a step for the caller, nothing yet, or the attempt's end.
-    async fn take(&mut self, event: AttemptEvent) -> Result<Option<Step>, AttemptEnd> {
+    /// Handles an event of the attempt. Returns a step for the caller if there is one.
+    ///
+    /// # Errors
+    /// Fails when the attempt has ended without a complete response.
+    async fn handle_event(&mut self, event: AttemptEvent) -> Result<Option<Step>, AttemptEnd> {
         match event {
-            AttemptEvent::Head(head) => Ok(self.take_head(head)),
-            AttemptEvent::Chunk(chunk) => self.take_chunk(chunk),
-            AttemptEvent::Final(last) => self.take_final(*last).await.map(Some),
+            AttemptEvent::Head(head) => Ok(self.handle_head(head)),
+            AttemptEvent::Chunk(chunk) => self.handle_chunk(chunk),
+            AttemptEvent::Final(last) => self.handle_final(*last).await.map(Some),
             AttemptEvent::Refusal(refusal) => Err(AttemptEnd::refused(&refusal)),
             AttemptEvent::LinkLost => self.recover().await.map(|()| None),
-            AttemptEvent::Attestation(fate) => self.take_fate(fate).map(|()| None),
+            AttemptEvent::Attestation(fate) => self.handle_fate(fate).map(|()| None),
         }
     }
 
-    fn take_head(&mut self, head: ResponseHead) -> Option<Step> {
+    fn handle_head(&mut self, head: ResponseHead) -> Option<Step> {
         let attempt = self.attempt.as_mut()?;
-        // After a resume the head comes again.
+        // After a resume the sidecar sends the head again.
         if attempt.head.is_some() {
             return None;
         }
@@ -248,16 +251,16 @@
         (!attempt.is_error()).then_some(Step::Head(head))
     }
 
-    fn take_chunk(&mut self, chunk: Chunk) -> Result<Option<Step>, AttemptEnd> {
+    fn handle_chunk(&mut self, chunk: Chunk) -> Result<Option<Step>, AttemptEnd> {
         let Some(attempt) = self.attempt.as_mut() else {
             return Ok(None);
         };
-        // After a resume, parts that were on their way may come twice.
+        // After a resume, chunks that were in transit may arrive twice.
         if chunk.sequence < attempt.next_sequence {
             return Ok(None);
         }
         if chunk.sequence > attempt.next_sequence {
-            let detail = format!("part {} is missing", attempt.next_sequence);
+            let detail = format!("chunk {} is missing", attempt.next_sequence);
             return Err(AttemptEnd::Truncated { detail });
         }
         attempt.next_sequence += 1;
@@ -266,10 +269,10 @@
             attempt.error_body.extend_from_slice(&chunk.payload);
             return Ok(None);
         }
-        Ok(Some(Step::Part(chunk.payload)))
+        Ok(Some(Step::Chunk(chunk.payload)))
     }
 
-    async fn take_final(&mut self, last: Final) -> Result<Step, AttemptEnd> {
+    async fn handle_final(&mut self, last: Final) -> Result<Step, AttemptEnd> {
         let Some(attempt) = self.attempt.as_mut() else {
             return Err(AttemptEnd::Unknown);
         };
@@ -278,7 +281,8 @@
         match last.kind() {
             FinalKind::Whole if is_whole => {}
             FinalKind::Whole => {
-                let detail = "the parts do not make the whole answer".to_owned();
+                let detail =
+                    "the chunks received do not match the response's length or digest".to_owned();
                 return Err(AttemptEnd::Truncated { detail });
             }
             FinalKind::UpstreamError => {
@@ -296,15 +300,15 @@
         self.shared.ejection.lock().succeeded(&host);
         if let Some(record) = last.bill.as_ref().and_then(|bill| bill_from_wire(bill).ok()) {
             self.bill = Some(record.clone());
-            billing::take_in(&self.shared, record, &host).await;
+            billing::hold_record(&self.shared, record, &host).await;
         }
         self.served_by = Some(host);
         self.attempt = None;
         Ok(self.end(EndKind::Whole))
     }
 
-    /// The connection broke. The same life of the same sidecar knows what became of
-    /// the attempt; nobody else does.
+    /// Asks the sidecar for the attempt's state after the connection broke. Only the same incarnation of the same
+    /// sidecar knows it.
     async fn recover(&mut self) -> Result<(), AttemptEnd> {
         let Some(attempt) = self.attempt.as_mut() else {
             return Err(AttemptEnd::Unknown);
@@ -314,14 +318,14 @@
         if !matches!(connected, Ok(Some(incarnation)) if incarnation == attempt.incarnation) {
             return Err(AttemptEnd::Unknown);
         }
-        // Asking bars the attempt if it never arrived.
+        // If the attempt never arrived, this message makes the sidecar reject it from now on.
         let attest = Attest { attempt: attempt_to_wire(attempt.id) };
-        // A send that fails means that the connection broke again, which is told anew.
+        // A send fails only if the connection broke again, which causes another `LinkLost`.
         let _ = attempt.link.try_send(Body::Attest(attest));
         Ok(())
     }
 
-    fn take_fate(&mut self, fate: AttemptFate) -> Result<(), AttemptEnd> {
+    fn handle_fate(&mut self, fate: AttemptFate) -> Result<(), AttemptEnd> {
         let Some(attempt) = self.attempt.as_mut() else {
             return Err(AttemptEnd::Unknown);
         };
@@ -337,16 +341,16 @@
             }
             AttemptFate::Barred | AttemptFate::NotRun => Err(AttemptEnd::Refused {
                 reason: NotRunReason::NoUpstream,
-                retry_after: RETRY_AFTER_NOBODY,
+                retry_after: RETRY_AFTER_NO_UPSTREAM,
             }),
             AttemptFate::Forgotten | AttemptFate::Unspecified => Err(AttemptEnd::Unknown),
         }
     }
 
-    /// An attempt goes no further: the request is tried elsewhere or ends.
+    /// Handles the end of an attempt: returns `None` if the request is to be retried, else its end.
     fn attempt_ended(&mut self, end: AttemptEnd) -> Option<Step> {
         if let Some(attempt) = self.attempt.take() {
-            self.note_health(&attempt.host, &end);
+            self.record_health(&attempt.host, &end);
             self.avoid.insert(attempt.host.clone());
         }
         if end.is_proved_not_run() {
@@ -366,7 +370,7 @@
         Some(self.end(kind))
     }
 
-    /// "Not run" is said only when no attempt can have run.
+    /// Reports "not run" only if no attempt can have run, else "unknown".
     fn not_run(&self, reason: NotRunReason, retry_after: Duration) -> EndKind {
         if self.progress.may_have_run() {
             return EndKind::Unknown;
@@ -374,7 +378,7 @@
         EndKind::NotRun { reason, retry_after }
     }
 
-    fn note_health(&self, host: &HostId, end: &AttemptEnd) {
+    fn record_health(&self, host: &HostId, end: &AttemptEnd) {
         let mut ejection = self.shared.ejection.lock();
         if end.has_cost() {
             ejection.failed(self.shared.now(), host, &mut rand::rng());
@@ -384,6 +388,6 @@
     }
 
     fn end(&mut self, kind: EndKind) -> Step {
-        Step::End(Ending { kind, attempts: self.progress.attempts() })
+        Step::End(RequestEnd { kind, attempts: self.progress.attempts() })
     }
 }
--- a/crates/entry/src/request/order.rs
+++ b/crates/entry/src/request/order.rs
@@ -1,4 +1,4 @@
-//! What is to be run.
+//! A validated request with everything that is needed to place and dispatch it.
 
 use bytes::Bytes;
 use stallhoist_core::AttemptId;
@@ -19,21 +19,21 @@
 
 use crate::learners::WorkKind;
 
-/// What earlier models of a cascade used for a request, and the attempts they took.
+/// Usage, cost and number of attempts of the earlier models of a cascade.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Prior {
+pub(crate) struct PriorUsage {
     pub(crate) usage: Usage,
     pub(crate) cost: CostMicros,
     pub(crate) attempts: u32,
 }
 
-/// A request that is allowed and ready to be placed.
+/// A request that passed all checks and is ready to be placed.
 #[derive(Debug, Clone)]
 pub(crate) struct Order {
     pub(crate) request: RequestId,
     pub(crate) workspace: WorkspaceName,
     pub(crate) target: Target,
-    /// Set when the request goes on with a session: where its last answer came from.
+    /// The host that served the session's last response; `None` outside of a session.
     pub(crate) session_host: Option<HostId>,
     pub(crate) is_repeatable: bool,
     pub(crate) is_streamed: bool,
@@ -43,15 +43,14 @@
     pub(crate) body: Bytes,
     pub(crate) prompt_tokens: u64,
     pub(crate) completion_tokens: u64,
-    /// The prompt's leading blocks; none where it has no whole one.
+    /// The hashes of the prompt's leading blocks; `None` if the prompt is shorter than a block.
     pub(crate) prefix: Option<Prefix>,
     pub(crate) idempotency_key: Option<IdempotencyKey>,
-    /// Knows the same request when its caller comes back after a refusal.
+    /// Identifies the same request when its caller retries it after a rejection.
     pub(crate) work_key: u64,
-    /// The kind of work, as the caller says.
+    /// The task that the caller named.
     pub(crate) task: Option<TaskName>,
-    /// What earlier models of a cascade used for this request.
-    pub(crate) prior: Prior,
+    pub(crate) prior: PriorUsage,
     pub(crate) arrived: MonoTime,
     pub(crate) deadline: MonoTime,
 }
@@ -98,13 +97,13 @@
         }
     }
 
-    /// The kind of work that models are learnt for.
+    /// The workspace and task for which statistics of models are kept.
     pub(crate) fn kind(&self) -> WorkKind {
         WorkKind { workspace: self.workspace.clone(), task: self.task.clone() }
     }
 
-    /// What steers equal requests to the same upstreams: the prompt's first block, or
-    /// the whole request where there is none.
+    /// The key that routes equal requests to the same upstreams: the hash of the prompt's first block, or the work
+    /// key if there is none.
     pub(crate) fn affinity_key(&self) -> u64 {
         let first_block = self.prefix.as_ref().and_then(|prefix| prefix.mark_hashes.first());
         first_block.copied().unwrap_or(self.work_key)
--- a/crates/entry/src/request/place.rs
+++ b/crates/entry/src/request/place.rs
@@ -1,4 +1,4 @@
-//! Asking upstreams and choosing among them.
+//! Probes upstream hosts and chooses one of them for a request.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -21,11 +21,10 @@
 use crate::mesh::Link;
 use crate::shared::Shared;
 
-/// After the first answer, the others are waited for this much longer.
-const LATE_PROBES: Duration = Duration::from_millis(2);
+/// How long to wait for further probe replies after the first one.
+const LATE_PROBE_WAIT: Duration = Duration::from_millis(2);
 
-/// Chooses an upstream for an order. Those in `avoid` are asked only when there is
-/// nobody else.
+/// Chooses an upstream host for an order. Hosts in `avoid` are used only if there are no others.
 pub(crate) async fn place(shared: &Shared, order: &Order, avoid: &BTreeSet<HostId>) -> Choice {
     let connected = shared.links.usable(&order.target);
     let healthy = shared.ejection.lock().usable(shared.now(), &connected);
@@ -37,19 +36,19 @@
         session_host: order.session_host.clone(),
         affinity_key,
     };
-    let asked = plan_probes(&plan, &usable, &mut rand::rng());
-    // With one to choose from there is nothing to ask: the sidecar decides on arrival.
-    if let [only] = &asked[..] {
+    let probed = plan_probes(&plan, &usable, &mut rand::rng());
+    // A single host needs no probe: its sidecar decides on arrival.
+    if let [only] = &probed[..] {
         return Choice::Send(only.clone());
     }
-    let candidates = ask(shared, order, &asked).await;
-    if candidates.is_empty() && !asked.is_empty() {
-        // All silent within the time: the sidecar's own admission has the last word.
-        return Choice::Send(asked[0].clone());
+    let candidates = probe_all(shared, order, &probed).await;
+    if candidates.is_empty() && !probed.is_empty() {
+        // No reply in time: the sidecar's admission control decides on arrival.
+        return Choice::Send(probed[0].clone());
     }
     match choose(&candidates, &mut rand::rng()) {
-        // A probe keeps no place. The one that the caller will be steered to when it comes
-        // back gets the request all the same: it keeps a place, or has one by now.
+        // A probe reserves no slot. The request is sent all the same to the host that the caller's retry will be
+        // routed to: that host reserves a slot for the retry, or has a free one by now.
         Choice::Refuse { .. } if avoid.is_empty() => {
             match affinity_order(affinity_key, &usable).first() {
                 Some(host) => Choice::Send((*host).clone()),
@@ -60,52 +59,52 @@
     }
 }
 
-async fn ask(shared: &Shared, order: &Order, asked: &[HostId]) -> Vec<Candidate> {
-    let links = asked.iter().filter_map(|host| Some((host.clone(), shared.links.get(host)?)));
+async fn probe_all(shared: &Shared, order: &Order, probed: &[HostId]) -> Vec<Candidate> {
+    let links = probed.iter().filter_map(|host| Some((host.clone(), shared.links.get(host)?)));
     let mut replies: FuturesUnordered<_> =
-        links.map(|(host, link)| ask_one(shared, order, host, link)).collect();
-    let mut patience = Duration::from_millis(shared.settings.placement.probe_timeout_ms);
-    let mut candidates = Vec::with_capacity(asked.len());
-    while let Ok(Some(reply)) = tokio::time::timeout(patience, replies.next()).await {
+        links.map(|(host, link)| probe_one(shared, order, host, link)).collect();
+    let mut wait = Duration::from_millis(shared.settings.placement.probe_timeout_ms);
+    let mut candidates = Vec::with_capacity(probed.len());
+    while let Ok(Some(reply)) = tokio::time::timeout(wait, replies.next()).await {
         candidates.extend(reply);
         if !candidates.is_empty() {
-            patience = patience.min(LATE_PROBES);
+            wait = wait.min(LATE_PROBE_WAIT);
         }
     }
     candidates
 }
 
-async fn ask_one(
+async fn probe_one(
     shared: &Shared,
     order: &Order,
     host: HostId,
     link: Arc<Link>,
 ) -> Option<Candidate> {
-    let asked_at = Instant::now();
-    let (probe_id, told) = link.waiters.lock().add_probe();
-    let waiting = DropProbe { link: &link, probe_id };
+    let sent_at = Instant::now();
+    let (probe_id, reply) = link.waiters.lock().add_probe();
+    let guard = ProbeGuard { link: &link, probe_id };
     shared.metrics.probes.inc();
     link.try_send(Body::Probe(order.probe(probe_id, shared.now()))).ok()?;
-    let reply = told.await.ok()?;
-    drop(waiting);
+    let reply = reply.await.ok()?;
+    drop(guard);
     let retry_after = Duration::from_millis(reply.retry_after_ms);
     let refusal = NotRunReason::from_code(reply.refusal_reason);
     Some(Candidate {
         host,
         first_token: Duration::from_micros(reply.predicted_first_token_us),
-        round_trip: asked_at.elapsed(),
+        round_trip: sent_at.elapsed(),
         load_requests: reply.in_flight_requests + reply.queue_len_requests,
         refusal: refusal.map(|reason| (reason, retry_after)),
     })
 }
 
-/// Forgets a probe that nobody waits for any more.
-struct DropProbe<'a> {
+/// Unregisters a probe when its reply is no longer awaited.
+struct ProbeGuard<'a> {
     link: &'a Link,
     probe_id: u64,
 }
 
-impl Drop for DropProbe<'_> {
+impl Drop for ProbeGuard<'_> {
     fn drop(&mut self) {
         self.link.waiters.lock().drop_probe(self.probe_id);
     }
