--- a/crates/entry/src/background.rs
+++ b/crates/entry/src/background.rs
@@ -1,5 +1,5 @@
-//! What an entry does besides answering: heartbeats, the host list, the table's head,
-//! the ledger, and claims that wait for their release.
+//! The background tasks of an entry: heartbeats, polling of the host list and of the table's head, writing bill
+//! records to the ledger, and releasing claims.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,21 +13,20 @@
 
 const RELEASE_EVERY: Duration = Duration::from_millis(500);
 
-/// Polls are spread by up to this part of their period, so that hosts that started
-/// together do not ask together.
+/// The relative jitter of polling periods, so that hosts that started together do not poll together.
 const JITTER: f64 = 0.2;
 
-/// Says the status to all sidecars, again and again.
+/// Sends the status to all sidecars periodically.
 pub(crate) async fn heartbeat(shared: Arc<Shared>) {
     let every = Duration::from_millis(shared.settings.timing.heartbeat_ms);
     loop {
         tokio::time::sleep(every).await;
         shared.links.broadcast(&Body::Status(shared.status()));
-        show_gauges(&shared);
+        update_gauges(&shared);
     }
 }
 
-/// Follows the host list. When it cannot be read the last one stands.
+/// Polls the host list. If it cannot be read, the last one stays active.
 pub(crate) async fn follow_hosts(shared: Arc<Shared>) {
     let every = Duration::from_millis(shared.settings.platform.host_list_poll_ms);
     shared.links.connect_seeds(&shared);
@@ -43,7 +42,7 @@
     }
 }
 
-/// Follows the table's head, as a fallback to the mesh.
+/// Polls the table's head, in case a revision does not arrive through the sidecars.
 pub(crate) async fn follow_table(shared: Arc<Shared>) {
     let every = Duration::from_millis(shared.settings.platform.table_poll_ms);
     loop {
@@ -54,7 +53,7 @@
     }
 }
 
-/// Brings bill records to the ledger.
+/// Writes bill records to the ledger periodically.
 pub(crate) async fn flush_bills(shared: Arc<Shared>) {
     let every = Duration::from_millis(shared.settings.bill.flush_ms);
     let mut unconfirmed = None;
@@ -64,11 +63,11 @@
     }
 }
 
-/// Releases claims that could not be released at once.
+/// Retries the release of claims that could not be released at once.
 pub(crate) async fn release_claims(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(jittered(RELEASE_EVERY)).await;
-        claiming::release_left(&shared).await;
+        claiming::retry_releases(&shared).await;
     }
 }
 
@@ -76,7 +75,7 @@
     every.mul_f64(1.0 - JITTER + rand::random_range(0.0..2.0 * JITTER))
 }
 
-fn show_gauges(shared: &Shared) {
+fn update_gauges(shared: &Shared) {
     let as_gauge = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
     let connected = shared.links.all().iter().filter(|(_, l)| l.sender().is_some()).count();
     shared.metrics.connected_sidecars.set(as_gauge(connected));
--- a/crates/entry/src/learners.rs
+++ b/crates/entry/src/learners.rs
@@ -1,4 +1,4 @@
-//! What an entry has learnt of models, for each workspace and task.
+//! Statistics of models, per workspace and task, for the choice between a single model and a cascade.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,19 +14,19 @@
 use stallhoist_table::Table;
 use stallhoist_table::VersionState;
 
-/// After the rater did not answer, it is not counted on for so long.
+/// The time after a failed call of the rating service during which it counts as unavailable.
 const RATER_PAUSE: Duration = Duration::from_secs(5);
-/// Kinds of work that are learnt; beyond it everything starts anew.
+/// The maximum number of kinds of work with statistics. When it is exceeded, all statistics are dropped.
 const MAX_KINDS: usize = 1_000;
 
-/// A kind of work.
+/// The workspace and task of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct WorkKind {
     pub(crate) workspace: WorkspaceName,
     pub(crate) task: Option<TaskName>,
 }
 
-/// What an entry has learnt, by kind of work.
+/// Statistics of models by kind of work.
 #[derive(Debug, Default)]
 pub(crate) struct Learners {
     learners: HashMap<WorkKind, CascadeLearner>,
@@ -50,8 +50,7 @@
     }
 }
 
-/// The models of a workspace's cascade, the cheapest first. One whose versions are all
-/// held back is none.
+/// The models of a workspace's cascade, cheapest first. Models without an available version are left out.
 pub(crate) fn models(table: &Table, workspace: &WorkspaceName, guard: &Guard) -> Vec<CascadeModel> {
     let mut models: Vec<(u32, CascadeModel)> = Vec::new();
     for row in table.rows_of(workspace) {
@@ -60,19 +59,19 @@
         };
         let is_open = row.allowed && row.state == VersionState::Active && row.weight > 0;
         let is_open = is_open && !guard.is_held(version);
-        let is_known = models.iter().any(|(_, facts)| facts.model == version.model);
+        let is_known = models.iter().any(|(_, candidate)| candidate.model == version.model);
         if row.cascade_place == 0 || !is_open || is_known {
             continue;
         }
         let price = row.cost_micros_per_1k_tokens.0 as f64;
-        let facts = CascadeModel { model: version.model.clone(), price };
-        models.push((row.cascade_place, facts));
+        let candidate = CascadeModel { model: version.model.clone(), price };
+        models.push((row.cascade_place, candidate));
     }
-    models.sort_by_key(|(place, _)| *place);
-    models.into_iter().map(|(_, facts)| facts).collect()
+    models.sort_by_key(|(position, _)| *position);
+    models.into_iter().map(|(_, candidate)| candidate).collect()
 }
 
-/// The model of a target that is one.
+/// The model of a target, or `None` for a service.
 pub(crate) fn model_of(target: &Target) -> Option<&ModelName> {
     match target {
         Target::Version(version) => Some(&version.model),
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -1,4 +1,7 @@
-//! The limits of table rows, of which this entry keeps to its share.
+//! Enforces the limits of table rows. Each entry enforces its share of a limit, without coordination.
+//!
+//! The shares follow from the host list. While the list may lack other entries (before the first one, or when it
+//! is old), an entry uses half of its share.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,22 +23,23 @@
 use crate::request::Order;
 use crate::shared::Shared;
 
-/// A list that is older than so many polls may lack other entries: until then polls may fail.
-const POLLS_BELIEVED: u32 = 6;
+/// The age of the host list, in polling periods, up to which it counts as current. Allows for failed polls; an older
+/// list may lack other entries.
+const HOST_LIST_TTL_POLLS: u32 = 6;
 
 type RowKey = (WorkspaceName, Target);
 
-/// What this entry has let in, and among how many entries the limits are divided.
+/// The limiters of this entry, and the entries among which the limits are divided.
 #[derive(Debug, Default)]
 pub(crate) struct FleetLimits {
-    /// The entries of the newest list, and when it was read. None before the first.
+    /// The live entries in the newest host list, and when it was read; `None` before the first.
     listed: Option<(MonoTime, Vec<HostId>)>,
-    /// One for each limited row that was asked for: no more than the table has rows.
+    /// One limiter for each limited row that was requested, hence at most as many as the table has rows.
     rows: HashMap<RowKey, RowLimiter>,
 }
 
 impl FleetLimits {
-    /// The list of hosts was read.
+    /// Records that the host list was read.
     pub(crate) fn listed(&mut self, now: MonoTime, hosts: &[HostEntry]) {
         let is_entry =
             |host: &&HostEntry| host.role == HostRole::Entry && host.state == HostState::Live;
@@ -43,26 +47,26 @@
         self.listed = Some((now, entries.collect()));
     }
 
-    /// How many entries the newest list has; none before the first.
+    /// The number of live entries in the newest host list; `None` before the first.
     pub(crate) fn entries(&self) -> Option<usize> {
         self.listed.as_ref().map(|(_, entries)| entries.len())
     }
 
-    /// The share of the limits of a row that this entry keeps to. Nobody is known before the
-    /// first list; then, and when the list is old, there may be others.
-    fn share(&self, now: MonoTime, own: &HostId, believed: Duration, row: &RowKey) -> EntryShare {
+    /// This entry's share of the limits of a row. It is halved before the first list and when the list is older
+    /// than `ttl`, since there may be other entries.
+    fn share(&self, now: MonoTime, local: &HostId, ttl: Duration, row: &RowKey) -> EntryShare {
         let salt = xxh3_64(format!("{}/{}", row.0, row.1).as_bytes());
         match &self.listed {
             Some((at, entries)) => {
-                let share = EntryShare::of(own, entries, salt);
-                if now.since(*at) > believed { share.halved() } else { share }
+                let share = EntryShare::of(local, entries, salt);
+                if now.since(*at) > ttl { share.halved() } else { share }
             }
-            None => EntryShare::of(own, &[], salt).halved(),
+            None => EntryShare::of(local, &[], salt).halved(),
         }
     }
 }
 
-/// Counts a request in progress under the limits of its row until it is dropped.
+/// Counts a request in progress against the limits of its row until it is dropped.
 #[derive(Debug)]
 pub(crate) struct LimitPermit {
     shared: Arc<Shared>,
@@ -77,10 +81,10 @@
     }
 }
 
-/// Lets a request in under the limits of its row; gives no permit where there are none.
+/// Admits a request under the limits of its row. Returns no permit if the row has no limits.
 ///
 /// # Errors
-/// Fails when this entry's share of a limit is used up.
+/// Fails if this entry's share of a limit is used up.
 pub(crate) fn admit(
     shared: &Arc<Shared>,
     order: &Order,
@@ -92,12 +96,12 @@
     let now = shared.now();
     let row = (order.workspace.clone(), order.target.clone());
     let poll = Duration::from_millis(shared.settings.platform.host_list_poll_ms);
-    let believed = poll.saturating_mul(POLLS_BELIEVED);
+    let ttl = poll.saturating_mul(HOST_LIST_TTL_POLLS);
     let tokens = order.prompt_tokens.saturating_add(order.completion_tokens);
-    let mut known = shared.limits.lock();
-    let share = known.share(now, &shared.identity.host, believed, &row);
-    known.rows.entry(row.clone()).or_default().admit(now, &limits, share, tokens)?;
-    drop(known);
+    let mut fleet_limits = shared.limits.lock();
+    let share = fleet_limits.share(now, &shared.identity.host, ttl, &row);
+    fleet_limits.rows.entry(row.clone()).or_default().admit(now, &limits, share, tokens)?;
+    drop(fleet_limits);
     Ok(Some(LimitPermit { shared: Arc::clone(shared), row }))
 }
 
