--- a/crates/entry/src/mesh/event.rs
+++ b/crates/entry/src/mesh/event.rs
@@ -1,4 +1,4 @@
-//! What a request hears of its attempt.
+//! Events of an attempt, from its connection to its request.
 
 use stallhoist_wire::messages::AttemptFate;
 use stallhoist_wire::messages::Chunk;
@@ -6,7 +6,7 @@
 use stallhoist_wire::messages::Refusal;
 use stallhoist_wire::messages::ResponseHead;
 
-/// What a request hears of its attempt.
+/// An event of an attempt: a message of its sidecar, or the loss of the connection.
 #[derive(Debug)]
 pub(crate) enum AttemptEvent {
     Head(ResponseHead),
@@ -14,6 +14,6 @@
     Final(Box<Final>),
     Refusal(Refusal),
     Attestation(AttemptFate),
-    /// The connection broke; what became of the attempt is not known.
+    /// The connection broke; the state of the attempt is unknown.
     LinkLost,
 }
--- a/crates/entry/src/mesh/link.rs
+++ b/crates/entry/src/mesh/link.rs
@@ -1,4 +1,4 @@
-//! The connection to one sidecar, made again whenever it breaks.
+//! The connection to one sidecar, with reconnection and dispatch of its messages.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
 const FIRST_RECONNECT: Duration = Duration::from_millis(20);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the sidecar has last said of itself.
+/// The state of an established connection, with the last status that the sidecar sent.
 #[derive(Debug, Clone)]
 pub(crate) struct Connected {
     pub(crate) identity: Identity,
@@ -51,7 +51,7 @@
     pub(crate) last_heard: Instant,
 }
 
-/// The connection to one sidecar.
+/// The connection to one sidecar. It is reestablished with exponential back-off until the link is closed.
 #[derive(Debug)]
 pub(crate) struct Link {
     pub(crate) addr: SocketAddr,
@@ -70,17 +70,17 @@
         }
     }
 
-    /// The state of the connection; none while there is none.
+    /// A copy of the state of the connection, or `None` while it is down.
     pub(crate) fn connected(&self) -> Option<Connected> {
         self.connected.borrow().clone()
     }
 
-    /// Looks at the state of the connection without copying it.
-    pub(crate) fn look<T>(&self, look: impl FnOnce(&Connected) -> T) -> Option<T> {
-        self.connected.borrow().as_ref().map(look)
+    /// Reads the state of the connection without copying it. Returns `None` while the connection is down.
+    pub(crate) fn with_connection<T>(&self, read: impl FnOnce(&Connected) -> T) -> Option<T> {
+        self.connected.borrow().as_ref().map(read)
     }
 
-    /// Waits for a connection; the life of the sidecar it leads to.
+    /// Waits until the connection is up, and returns the incarnation of the sidecar.
     pub(crate) async fn wait_connected(&self) -> Option<IncarnationId> {
         let mut connected = self.connected.subscribe();
         let found = connected.wait_for(Option::is_some).await.ok()?;
@@ -88,24 +88,27 @@
     }
 
     pub(crate) fn sender(&self) -> Option<FrameSender> {
-        self.look(|connected| connected.sender.clone())
+        self.with_connection(|connected| connected.sender.clone())
     }
 
     pub(crate) fn zone(&self) -> Option<ZoneName> {
-        self.look(|connected| connected.identity.zone.clone())
+        self.with_connection(|connected| connected.identity.zone.clone())
     }
 
-    /// Sends if there is a connection with room.
+    /// Sends a message without waiting.
+    ///
+    /// # Errors
+    /// Fails if the connection is down or its send queue is full.
     pub(crate) fn try_send(&self, body: Body) -> Result<(), WireError> {
         self.sender().ok_or(WireError::Closed)?.try_send(body)
     }
 
-    /// Ends the connection for good.
+    /// Closes the connection permanently.
     pub(crate) fn close(&self) {
         self.closed.cancel();
     }
 
-    /// Keeps the connection up until the link is closed.
+    /// Connects and reconnects until the link is closed.
     pub(crate) async fn run(self: Arc<Self>, shared: Arc<Shared>) {
         let longest = Duration::from_millis(shared.settings.timing.reconnect_max_ms);
         let pauses = ExponentialBuilder::default()
@@ -142,16 +145,16 @@
         self.waiters.lock().link_lost();
     }
 
-    /// One life of the connection; whether it got past the handshake.
+    /// Connects once and reads until the connection ends. Returns whether the handshake succeeded.
     async fn connect_and_read(&self, shared: &Arc<Shared>) -> bool {
         let connect = TcpStream::connect(self.addr);
         let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, connect).await else {
             return false;
         };
         let max_frame_bytes = shared.settings.max_frame_bytes;
-        let shaken =
+        let identified =
             handshake(stream, Side::Opener, &shared.identity, &shared.fleet_key, max_frame_bytes);
-        let (framed, identity) = match shaken.await {
+        let (framed, identity) = match identified.await {
             Ok(done) => done,
             Err(error) => {
                 log::warn!(addr:% = self.addr, error:%; "handshake failed");
@@ -179,13 +182,13 @@
                 Ok(body) => body,
                 Err(error) => return error,
             };
-            if let Err(error) = self.take(shared, &identity, sender, body) {
+            if let Err(error) = self.handle_message(shared, &identity, sender, body) {
                 return error;
             }
         }
     }
 
-    fn take(
+    fn handle_message(
         &self,
         shared: &Arc<Shared>,
         identity: &Identity,
@@ -216,13 +219,13 @@
                     .map_err(|_| WireError::BadField("fate"))?;
                 self.waiters.lock().attempt_event(id, AttemptEvent::Attestation(fate));
             }
-            Body::Status(status) => self.take_status(shared, identity, sender, &status)?,
+            Body::Status(status) => self.handle_status(shared, identity, sender, &status)?,
             Body::TableHeld(held) => {
-                table_sync::note_holder(shared, &identity.host, Revision(held.revision));
+                table_sync::record_holder(shared, &identity.host, Revision(held.revision));
             }
-            Body::TableProgress(progress) => table_sync::take_progress(shared, &progress),
-            Body::TableSnapshot(snapshot) => table_sync::take_snapshot(shared, &snapshot)?,
-            Body::TableEdit(edit) => table_sync::take_edit(shared, sender, &edit)?,
+            Body::TableProgress(progress) => table_sync::apply_progress(shared, &progress),
+            Body::TableSnapshot(snapshot) => table_sync::apply_snapshot(shared, &snapshot)?,
+            Body::TableEdit(edit) => table_sync::apply_edit(shared, sender, &edit)?,
             Body::TablePull(_) => shared.table.send_snapshot(sender),
             Body::BillHeld(held) => {
                 let request = request_from_wire(&held.request)?;
@@ -236,8 +239,8 @@
         Ok(())
     }
 
-    /// The first status of a connection makes it usable.
-    fn take_status(
+    /// Stores the sidecar's status. The connection counts as up from its first status.
+    fn handle_status(
         &self,
         shared: &Arc<Shared>,
         identity: &Identity,
@@ -266,7 +269,7 @@
             }
         });
         holds::record_evidence(shared, &identity.host, &status.evidence)?;
-        table_sync::note_holder(shared, &identity.host, revision);
+        table_sync::record_holder(shared, &identity.host, revision);
         shared.table.sync_with_peer(sender, revision);
         Ok(())
     }
--- a/crates/entry/src/mesh/links.rs
+++ b/crates/entry/src/mesh/links.rs
@@ -1,4 +1,4 @@
-//! All connections, kept in line with the host list.
+//! The set of connections to sidecars, which follows the host list.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,7 +18,7 @@
 use super::Link;
 use crate::shared::Shared;
 
-/// All connections, by the host each leads to, and the host list they follow.
+/// All connections by their host, and the host list that they follow.
 #[derive(Debug, Default)]
 pub(crate) struct Links {
     inner: RwLock<Inner>,
@@ -45,28 +45,29 @@
         self.inner.read().hosts.clone()
     }
 
-    /// The connected upstreams of a target that take new work, as far as is known here.
+    /// The connected upstream hosts of a target that are not known to be leaving.
     pub(crate) fn usable(&self, target: &Target) -> Vec<HostId> {
         let inner = self.inner.read();
         let is_leaving = |host: &HostId| {
             let listed = inner.hosts.iter().find(|entry| &entry.host == host);
             listed.is_some_and(|entry| entry.state == HostState::Leaving)
         };
-        let serves = |link: &Link| link.look(|c| !c.is_leaving && c.serves.contains(target));
+        let serves =
+            |link: &Link| link.with_connection(|c| !c.is_leaving && c.serves.contains(target));
         let usable = inner.by_host.iter().filter(|(_, link)| serves(link) == Some(true));
         usable.map(|(host, _)| host.clone()).filter(|host| !is_leaving(host)).collect()
     }
 
-    /// Sends to all connections that have room.
+    /// Sends a message on all connections whose send queue is not full.
     pub(crate) fn broadcast(&self, body: &Body) {
         for link in self.inner.read().by_host.values() {
             let _ = link.try_send(body.clone());
         }
     }
 
-    /// Opens and closes connections so that they are those that the list asks for.
+    /// Opens and closes connections so that they match the host list.
     pub(crate) fn reconcile(&self, shared: &Arc<Shared>, hosts: Vec<HostEntry>) {
-        let wanted = wanted(shared, &hosts);
+        let wanted = wanted_hosts(shared, &hosts);
         let mut inner = self.inner.write();
         inner.by_host.retain(|host, link| {
             let is_kept = wanted.get(host) == Some(&link.addr);
@@ -81,8 +82,8 @@
         inner.hosts = hosts;
     }
 
-    /// Connects to the seeds of the settings, until the host list has been read. Their
-    /// hosts are not known yet, so their addresses stand in for the names.
+    /// Connects to the seed addresses in the settings, which are used until the host list has been read. Their host ids
+    /// are not known yet and are derived from the addresses.
     pub(crate) fn connect_seeds(&self, shared: &Arc<Shared>) {
         let mut inner = self.inner.write();
         for seed in &shared.settings.placement.seed_addrs {
@@ -107,9 +108,9 @@
     link
 }
 
-/// The upstream hosts to be connected to: for each target a subset, and leaving ones
-/// too, since work may still run there.
-fn wanted(shared: &Shared, hosts: &[HostEntry]) -> BTreeMap<HostId, SocketAddr> {
+/// The upstream hosts to connect to: a subset for each target. Includes hosts that are leaving, since requests may still
+/// run there.
+fn wanted_hosts(shared: &Shared, hosts: &[HostEntry]) -> BTreeMap<HostId, SocketAddr> {
     let upstreams: Vec<_> = hosts.iter().filter(|h| h.role == HostRole::Upstream).collect();
     let targets: BTreeSet<_> = upstreams.iter().flat_map(|host| &host.serves).collect();
     let mut chosen = BTreeSet::new();
@@ -120,8 +121,8 @@
             .map(|host| Member { host: host.host.clone(), zone: host.zone.clone() })
             .collect();
         let size = shared.settings.placement.subset_size;
-        let me = &shared.identity;
-        chosen.extend(subset(&me.host, &me.zone, &members, size));
+        let local = &shared.identity;
+        chosen.extend(subset(&local.host, &local.zone, &members, size));
     }
     let listed = upstreams.iter().filter(|host| chosen.contains(&host.host));
     listed.filter_map(|host| Some((host.host.clone(), host.address.parse().ok()?))).collect()
--- a/crates/entry/src/mesh/waiters.rs
+++ b/crates/entry/src/mesh/waiters.rs
@@ -1,4 +1,4 @@
-//! Who waits for which message of a connection.
+//! Dispatches the messages of a connection to the tasks that wait for them.
 
 use std::collections::HashMap;
 
@@ -10,13 +10,13 @@
 
 use super::AttemptEvent;
 
-/// Who waits for which message of a connection.
+/// The channels of the tasks that wait for messages of a connection.
 #[derive(Debug, Default)]
 pub(crate) struct Waiters {
     last_probe_id: u64,
     probes: HashMap<u64, oneshot::Sender<ProbeReply>>,
-    /// Unbounded, since the sidecar keeps as much of each answer as it has sent: a slow
-    /// caller costs at most its own answer.
+    /// Unbounded: the sidecar buffers as much of each response as it has sent, so a slow caller uses at most the memory
+    /// of its own response.
     attempts: HashMap<AttemptId, mpsc::UnboundedSender<AttemptEvent>>,
     bills: HashMap<RequestId, oneshot::Sender<()>>,
 }
@@ -49,7 +49,7 @@
         self.attempts.remove(&id);
     }
 
-    /// Messages of attempts that nobody waits for any more are dropped.
+    /// Forwards an event to its attempt. Events of attempts without a receiver are dropped.
     pub(crate) fn attempt_event(&mut self, id: AttemptId, event: AttemptEvent) {
         if let Some(tell) = self.attempts.get(&id) {
             let _ = tell.send(event);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The connection broke: attempts are told, everything else is dropped.
+    /// Handles the loss of the connection: notifies the attempts and drops all other waiters.
     pub(crate) fn link_lost(&mut self) {
         self.probes.clear();
         self.bills.clear();
--- a/crates/entry/src/table_sync.rs
+++ b/crates/entry/src/table_sync.rs
@@ -1,4 +1,4 @@
-//! The table in an entry: edits, their spread, and who has them in force.
+//! Commits edits of the table, distributes them, and tracks the hosts on which a revision is active.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -29,24 +29,27 @@
 
 use crate::shared::Shared;
 
-/// How long a committed edit waits to be held in another zone before it is reported
-/// as committed only.
-const ACCEPT_PATIENCE: Duration = Duration::from_secs(1);
+/// How long a committed edit waits until another availability zone holds it. After that it is reported as only
+/// committed.
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where a revision is in force, as far as this entry knows.
+/// The hosts on which a revision is active, as far as this entry knows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(crate) struct InForce {
     pub(crate) revision: u64,
-    /// Hosts that have it.
+    /// The number of hosts on which it is active.
     pub(crate) in_force_hosts: usize,
-    /// Hosts that should.
+    /// The number of hosts on which it should be active: the live ones of the host list and this one.
     pub(crate) hosts: usize,
-    /// Those that are not known to have it.
+    /// The hosts that are not known to have it.
     pub(crate) missing: Vec<HostId>,
 }
 
-/// Commits an edit, puts it in force here, spreads it, and waits until another zone
-/// holds it. The flag says whether one did: only then is the edit accepted.
+/// Commits an edit, activates it on this entry, distributes it, and waits until another availability zone holds it. The
+/// returned flag says whether one did: only then is the edit accepted.
+///
+/// # Errors
+/// Fails if the edit conflicts or is invalid, or if the store does not confirm it.
 pub(crate) async fn commit(
     shared: &Arc<Shared>,
     edit: &Edit,
@@ -66,22 +69,22 @@
     let mut holders = shared.holders.subscribe();
     let is_held =
         |holders: &HashMap<HostId, Revision>| is_held_elsewhere(shared, holders, revision);
-    let held = tokio::time::timeout(ACCEPT_PATIENCE, holders.wait_for(is_held)).await;
+    let held = tokio::time::timeout(ACCEPT_TIMEOUT, holders.wait_for(is_held)).await;
     matches!(held, Ok(Ok(_)))
 }
 
-/// Held in another zone; where the fleet has but one, by another host.
+/// Whether another availability zone holds a revision; if the fleet has only one zone, another host.
 fn is_held_elsewhere(
     shared: &Shared,
     holders: &HashMap<HostId, Revision>,
     revision: Revision,
 ) -> bool {
     let zones: HashMap<HostId, ZoneName> = zones(shared);
-    let is_far = |zone: &ZoneName| zone != &shared.identity.zone;
-    let has_other_zones = zones.values().any(is_far);
+    let is_remote = |zone: &ZoneName| zone != &shared.identity.zone;
+    let has_other_zones = zones.values().any(is_remote);
     holders.iter().filter(|(_, held)| **held >= revision).any(|(host, _)| {
         let zone = zones.get(host);
-        host != &shared.identity.host && (!has_other_zones || zone.is_some_and(is_far))
+        host != &shared.identity.host && (!has_other_zones || zone.is_some_and(is_remote))
     })
 }
 
@@ -89,17 +92,17 @@
     shared.links.hosts().into_iter().map(|entry| (entry.host, entry.zone)).collect()
 }
 
-/// Where a revision is in force, as far as is known here.
+/// The hosts on which a revision is active, as far as this entry knows.
 pub(crate) fn in_force(shared: &Shared, revision: Revision) -> InForce {
     let listed = shared.links.hosts();
     let live = listed.iter().filter(|entry| entry.state == HostState::Live);
     let mut hosts: BTreeSet<HostId> = live.map(|entry| entry.host.clone()).collect();
     hosts.insert(shared.identity.host.clone());
     let holders = shared.holders.borrow();
-    let own = shared.table.revision();
+    let local = shared.table.revision();
     let holds = |host: &HostId| {
         let held =
-            if host == &shared.identity.host { Some(own) } else { holders.get(host).copied() };
+            if host == &shared.identity.host { Some(local) } else { holders.get(host).copied() };
         held.is_some_and(|held| held >= revision)
     };
     let missing: Vec<_> = hosts.iter().filter(|host| !holds(host)).cloned().collect();
@@ -111,7 +114,10 @@
     }
 }
 
-/// Reads the store's head and, if it is newer, the table.
+/// Reads the table's head from the store and, if it is newer, the table.
+///
+/// # Errors
+/// Fails if the store does not respond or its contents cannot be decoded.
 pub(crate) async fn poll(shared: &Arc<Shared>) -> Result<(), CommitError> {
     shared.metrics.store_reads.inc();
     let Some(head) = shared.table_store.head().await? else {
@@ -124,25 +130,28 @@
     Ok(())
 }
 
-/// A host has a revision in force.
-pub(crate) fn note_holder(shared: &Shared, host: &HostId, revision: Revision) {
+/// Records that a revision is active on a host.
+pub(crate) fn record_holder(shared: &Shared, host: &HostId, revision: Revision) {
     shared.holders.send_if_modified(|holders| {
         let held = holders.entry(host.clone()).or_default();
-        let is_news = *held < revision;
+        let is_newer = *held < revision;
         *held = (*held).max(revision);
-        is_news
+        is_newer
     });
 }
 
-/// A sidecar has said which of its entries have a revision in force.
-pub(crate) fn take_progress(shared: &Shared, progress: &TableProgress) {
+/// Records on which of its entries a revision is active, as reported by a sidecar.
+pub(crate) fn apply_progress(shared: &Shared, progress: &TableProgress) {
     for host in progress.holders.iter().filter_map(|host| host.parse().ok()) {
-        note_holder(shared, &host, Revision(progress.revision));
+        record_holder(shared, &host, Revision(progress.revision));
     }
 }
 
-/// A whole table came.
-pub(crate) fn take_snapshot(
+/// Installs a complete table that was received, if it is newer.
+///
+/// # Errors
+/// Fails if the message cannot be decoded.
+pub(crate) fn apply_snapshot(
     shared: &Arc<Shared>,
     message: &TableSnapshot,
 ) -> Result<(), WireError> {
@@ -151,8 +160,11 @@
     Ok(())
 }
 
-/// A committed edit came.
-pub(crate) fn take_edit(
+/// Applies a committed edit that was received. Requests a snapshot from the sender if an earlier edit is missing.
+///
+/// # Errors
+/// Fails if the message cannot be decoded.
+pub(crate) fn apply_edit(
     shared: &Arc<Shared>,
     from: &FrameSender,
     message: &TableEdit,
@@ -179,7 +191,7 @@
     };
     let message = table_to_wire(&table);
     for (_, link) in shared.links.all() {
-        if link.look(|connected| connected.revision < table.revision) == Some(true) {
+        if link.with_connection(|connected| connected.revision < table.revision) == Some(true) {
             let _ = link.try_send(message.clone());
         }
     }
@@ -187,7 +199,7 @@
 
 fn announce(shared: &Shared) {
     let revision = shared.table.revision();
-    log::info!(revision = revision.0; "table in force");
+    log::info!(revision = revision.0; "table revision active");
     shared.metrics.revision.set(i64::try_from(revision.0).unwrap_or(i64::MAX));
     shared.links.broadcast(&Body::TableHeld(TableHeld { revision: revision.0 }));
 }
