--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -52,7 +52,9 @@
 ///
 /// # Errors
 /// Fails with all that is wrong with the settings.
-pub fn begin<T: DeserializeOwned + Validate>(matches: &ArgMatches) -> Result<T, SettingsError> {
+pub fn initialize<T: DeserializeOwned + Validate>(
+    matches: &ArgMatches,
+) -> Result<T, SettingsError> {
     let level = matches.get_one::<LogLevel>("log-level").copied().unwrap_or(LogLevel::Info);
     start_logging(level, LogOutput::Stdout);
     stallhoist_settings::load(&settings_path(matches))
@@ -64,11 +66,11 @@
 
 /// The signal that says that the settings file has changed.
 #[derive(Debug)]
-pub struct HangUp {
+pub struct HangupSignal {
     hang_up: Signal,
 }
 
-impl HangUp {
+impl HangupSignal {
     /// Begins to listen. Without it, the signal would end the process.
     ///
     /// # Errors
--- a/src/bin/stallhoist-gateway.rs
+++ b/src/bin/stallhoist-gateway.rs
@@ -4,11 +4,11 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-use stallhoist_daemon::HangUp;
+use stallhoist_daemon::HangupSignal;
 use stallhoist_daemon::StopSignals;
-use stallhoist_daemon::begin;
 use stallhoist_daemon::command;
 use stallhoist_daemon::end;
+use stallhoist_daemon::initialize;
 use stallhoist_gateway::Gateway;
 use stallhoist_settings::GatewaySettings;
 use stallhoist_users_platform::PlatformDialect;
@@ -25,9 +25,9 @@
 
 async fn run() -> Result<(), Box<dyn Error>> {
     let mut stop = StopSignals::listen()?;
-    let hang_up = HangUp::listen()?;
+    let hang_up = HangupSignal::listen()?;
     let matches = command(NAME, ABOUT).get_matches();
-    let settings: GatewaySettings = begin(&matches)?;
+    let settings: GatewaySettings = initialize(&matches)?;
     let store = Arc::new(PlatformStore::new(&settings.store)?);
     let gateway = Gateway::start(settings, Arc::new(PlatformDialect), store).await?;
     tokio::spawn(hang_up.check_settings::<GatewaySettings>(matches));
--- a/src/bin/stallhoist-sidecar.rs
+++ b/src/bin/stallhoist-sidecar.rs
@@ -4,9 +4,9 @@
 use std::process::ExitCode;
 
 use stallhoist_daemon::StopSignals;
-use stallhoist_daemon::begin;
 use stallhoist_daemon::command;
 use stallhoist_daemon::end;
+use stallhoist_daemon::initialize;
 use stallhoist_sidecar::Sidecar;
 
 const NAME: &str = "stallhoist-sidecar";
@@ -18,7 +18,7 @@
 }
 
 async fn run() -> Result<(), Box<dyn Error>> {
-    let settings = begin(&command(NAME, ABOUT).get_matches())?;
+    let settings = initialize(&command(NAME, ABOUT).get_matches())?;
     let mut stop = StopSignals::listen()?;
     let sidecar = Sidecar::start(settings).await?;
     stop.wait().await;
