--- a/crates/entry/src/mesh/link.rs
+++ b/crates/entry/src/mesh/link.rs
@@ -149,8 +149,13 @@
             return false;
         };
         let max_frame_bytes = shared.settings.max_frame_bytes;
-        let shaken =
-            handshake(stream, Side::Opener, &shared.identity, &shared.fleet_key, max_frame_bytes);
+        let shaken = handshake(
+            stream,
+            Side::Initiator,
+            &shared.identity,
+            &shared.fleet_key,
+            max_frame_bytes,
+        );
         let (framed, identity) = match shaken.await {
             Ok(done) => done,
             Err(error) => {
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -46,7 +46,7 @@
 async fn serve(shared: Arc<Shared>, stream: TcpStream) {
     let max_frame_bytes = shared.settings.max_frame_bytes;
     let handshake =
-        handshake(stream, Side::Accepter, &shared.identity, &shared.fleet_key, max_frame_bytes);
+        handshake(stream, Side::Responder, &shared.identity, &shared.fleet_key, max_frame_bytes);
     let (framed, identity) = match handshake.await {
         Ok(done) => done,
         Err(error) => return log::warn!(error:%; "handshake failed"),
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -33,23 +33,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
     /// The one that opened it: an entry.
-    Opener,
+    Initiator,
     /// The one that accepted it: a sidecar.
-    Accepter,
+    Responder,
 }
 
 impl Side {
     fn tag(self) -> &'static [u8] {
         match self {
-            Self::Opener => b"stallhoist opener",
-            Self::Accepter => b"stallhoist accepter",
+            Self::Initiator => b"stallhoist opener",
+            Self::Responder => b"stallhoist accepter",
         }
     }
 
     fn other(self) -> Self {
         match self {
-            Self::Opener => Self::Accepter,
-            Self::Accepter => Self::Opener,
+            Self::Initiator => Self::Responder,
+            Self::Responder => Self::Initiator,
         }
     }
 }
--- a/tests/all/harness/fake_entry.rs
+++ b/tests/all/harness/fake_entry.rs
@@ -48,7 +48,7 @@
             incarnation: IncarnationId::generate(),
         };
         let key = FleetKey::new(key);
-        let (framed, _) = handshake(stream, Side::Opener, &me, &key, MAX_FRAME_BYTES).await?;
+        let (framed, _) = handshake(stream, Side::Initiator, &me, &key, MAX_FRAME_BYTES).await?;
         let (sender, reader) = start_writer(framed);
         Ok(Self { sender, reader })
     }
