--- a/crates/sidecar/src/peers.rs
+++ b/crates/sidecar/src/peers.rs
@@ -30,7 +30,7 @@
     /// Removes an entry unless it has reconnected meanwhile.
     pub(crate) fn remove(&mut self, incarnation: IncarnationId, sender: &FrameSender) {
         let held = self.by_incarnation.get(&incarnation);
-        if held.is_some_and(|peer| peer.sender.is_same(sender)) {
+        if held.is_some_and(|peer| peer.sender.is_same_connection(sender)) {
             self.by_incarnation.remove(&incarnation);
         }
     }
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -117,7 +117,7 @@
     }
 
     /// Whether both send on one connection.
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn is_same_connection(&self, other: &Self) -> bool {
         self.frames.same_channel(&other.frames)
     }
 }
