--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -88,7 +88,7 @@
     ) -> Self {
         let session_lifetime = settings.session.as_duration() + SESSION_MARGIN;
         let retries = &settings.retries;
-        let budget = RetryBudget::new(retries.budget_percent(), retries.burst_of(1));
+        let budget = RetryBudget::new(retries.budget_percent(), retries.burst_per_gateway(1));
         let below_confidence = settings.step_up.below_confidence_percent.clone();
         Self {
             upstreams: Arc::new(Upstreams::new(&settings)),
@@ -267,7 +267,7 @@
             peers.add(entry);
             peers.count()
         };
-        self.retries.lock().set_burst(self.settings.retries.burst_of(entries));
+        self.retries.lock().set_burst(self.settings.retries.burst_per_gateway(entries));
     }
 
     /// Handles the confirmed termination of an upstream's incarnation. Streams that broke there
--- a/crates/settings/src/gateway/retries.rs
+++ b/crates/settings/src/gateway/retries.rs
@@ -49,7 +49,7 @@
 
     /// The attempts that one of so many entries may make at once. At least one, or no attempt
     /// could ever be made.
-    pub fn burst_of(&self, entries: usize) -> u32 {
+    pub fn burst_per_gateway(&self, entries: usize) -> u32 {
         let share = self.fleet_slack * SLACK_MULTIPLE / entries.max(1) as f64;
         share.min(self.fleet_slack / MIN_DIVISOR).max(1.0) as u32
     }
