--- a/crates/settings/src/admission.rs
+++ b/crates/settings/src/admission.rs
@@ -1,4 +1,4 @@
-//! How a sidecar admits work.
+//! Admission of requests by a sidecar.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,18 +6,17 @@
 use crate::Problems;
 use crate::Validate;
 
-/// How a sidecar admits work to its upstream.
+/// Limits by which a sidecar admits requests to its upstream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdmissionSettings {
-    /// The time between tokens that the concurrency is set to hold.
+    /// Target for the token interval: the concurrency is adjusted to meet it.
     pub token_interval_target_ms: f64,
-    /// The most requests that run at once, whatever the step time.
+    /// Maximum number of requests that run at once, whatever the step time.
     pub max_in_flight_requests: usize,
-    /// The most requests that wait.
+    /// Maximum number of queued requests.
     pub max_queue_len_requests: usize,
-    /// The time to the first token that a request is given when its deadline is
-    /// further away.
+    /// Target for the time to the first token, for requests whose deadline is later than that.
     pub first_token_target_ms: u64,
 }
 
@@ -33,10 +32,14 @@
 }
 
 impl Validate for AdmissionSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.range("token_interval_target_ms", self.token_interval_target_ms, 1.0..=10_000.0);
-        problems.range("max_in_flight_requests", self.max_in_flight_requests, 1..=100_000);
-        problems.range("max_queue_len_requests", self.max_queue_len_requests, 0..=100_000);
-        problems.range("first_token_target_ms", self.first_token_target_ms, 10..=600_000);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_range(
+            "token_interval_target_ms",
+            self.token_interval_target_ms,
+            1.0..=10_000.0,
+        );
+        problems.check_range("max_in_flight_requests", self.max_in_flight_requests, 1..=100_000);
+        problems.check_range("max_queue_len_requests", self.max_queue_len_requests, 0..=100_000);
+        problems.check_range("first_token_target_ms", self.first_token_target_ms, 10..=600_000);
     }
 }
--- a/crates/settings/src/claims.rs
+++ b/crates/settings/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims and the bill.
+//! Settings of idempotency-key claims and of bill records.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,15 +6,15 @@
 use crate::Problems;
 use crate::Validate;
 
-/// How claims of idempotency keys are written.
+/// Batching and timeout of idempotency-key claims.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClaimSettings {
-    /// How long claims wait for others to share their write.
+    /// Time that a claim waits for others to be written in the same batch.
     pub batch_ms: u64,
-    /// The most claims in one write.
+    /// Maximum number of claims in one write.
     pub max_batch: usize,
-    /// How long a request waits for its claim before it is given up as not run.
+    /// Time that a request waits for its claim before it is rejected as not executed.
     pub timeout_ms: u64,
 }
 
@@ -25,26 +25,26 @@
 }
 
 impl Validate for ClaimSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.range("batch_ms", self.batch_ms, 0..=1_000);
-        problems.range("max_batch", self.max_batch, 1..=1_000);
-        problems.range("timeout_ms", self.timeout_ms, 10..=60_000);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_range("batch_ms", self.batch_ms, 0..=1_000);
+        problems.check_range("max_batch", self.max_batch, 1..=1_000);
+        problems.check_range("timeout_ms", self.timeout_ms, 10..=60_000);
     }
 }
 
-/// How bill records reach the ledger.
+/// Storage of bill records and their delivery to the ledger.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BillSettings {
-    /// How often an entry writes its records to the ledger.
+    /// Interval at which an entry writes its records to the ledger.
     pub flush_ms: u64,
-    /// The most records in one write.
+    /// Maximum number of records in one write.
     pub max_batch: usize,
-    /// How long an entry waits for a neighbour in another zone to hold a record.
+    /// Time that an entry waits until a peer in another availability zone has confirmed that it holds a record.
     pub hold_timeout_ms: u64,
-    /// After how long a sidecar hands an unsettled record to any entry.
+    /// Age at which a sidecar hands an unsettled record to any entry.
     pub orphan_ms: u64,
-    /// The most records a process holds; beyond it new work is refused.
+    /// Maximum number of records that a process holds; beyond it new requests are rejected.
     pub max_held: usize,
 }
 
@@ -61,11 +61,11 @@
 }
 
 impl Validate for BillSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.range("flush_ms", self.flush_ms, 10..=600_000);
-        problems.range("max_batch", self.max_batch, 1..=10_000);
-        problems.range("hold_timeout_ms", self.hold_timeout_ms, 1..=5_000);
-        problems.range("orphan_ms", self.orphan_ms, 50..=3_600_000);
-        problems.range("max_held", self.max_held, 1..=10_000_000);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_range("flush_ms", self.flush_ms, 10..=600_000);
+        problems.check_range("max_batch", self.max_batch, 1..=10_000);
+        problems.check_range("hold_timeout_ms", self.hold_timeout_ms, 1..=5_000);
+        problems.check_range("orphan_ms", self.orphan_ms, 50..=3_600_000);
+        problems.check_range("max_held", self.max_held, 1..=10_000_000);
     }
 }
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -1,4 +1,4 @@
-//! An entry's settings.
+//! Settings of an entry.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,21 +14,21 @@
 use crate::TimingSettings;
 use crate::Validate;
 
-const MIN_KEY_LEN: usize = 16;
+const MIN_KEY_BYTES: usize = 16;
 
-/// What callers may ask for.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallerLimits {
-    /// The largest request body.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// The most requests in progress; beyond it callers are told to come back.
+    /// Maximum number of requests in progress; requests beyond it are rejected, to be retried later.
     pub max_in_flight_requests: usize,
-    /// The deadline of a request that names none.
+    /// Deadline of a request that specifies none.
     pub default_deadline_ms: u64,
-    /// The longest deadline a request may name.
+    /// Maximum deadline that a request may specify.
     pub max_deadline_ms: u64,
-    /// How long an idle connection is kept open.
+    /// Time after which an idle connection is closed.
     pub keep_alive_s: u32,
 }
 
@@ -45,20 +45,20 @@
 }
 
 impl Validate for CallerLimits {
-    fn check(&self, problems: &mut Problems) {
-        problems.range("max_body_bytes", self.max_body_bytes, 1_024..=(32 << 20));
-        problems.range("max_in_flight_requests", self.max_in_flight_requests, 1..=100_000);
-        problems.range("default_deadline_ms", self.default_deadline_ms, 10..=3_600_000);
-        problems.range("max_deadline_ms", self.max_deadline_ms, 10..=3_600_000);
-        problems.range("keep_alive_s", self.keep_alive_s, 0..=3_600);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_range("max_body_bytes", self.max_body_bytes, 1_024..=(32 << 20));
+        problems.check_range("max_in_flight_requests", self.max_in_flight_requests, 1..=100_000);
+        problems.check_range("default_deadline_ms", self.default_deadline_ms, 10..=3_600_000);
+        problems.check_range("max_deadline_ms", self.max_deadline_ms, 10..=3_600_000);
+        problems.check_range("keep_alive_s", self.keep_alive_s, 0..=3_600);
     }
 }
 
-/// How answers are rated.
+/// Sampling of responses for quality ratings.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RatingSettings {
-    /// The part of whole answers that is rated, in percent.
+    /// Percentage of complete responses that are rated.
     pub sample_percent: f64,
 }
 
@@ -69,8 +69,8 @@
 }
 
 impl Validate for RatingSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.range("sample_percent", self.sample_percent, 0.0..=100.0);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_range("sample_percent", self.sample_percent, 0.0..=100.0);
     }
 }
 
@@ -78,38 +78,38 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Who the process is.
+    /// Identity of the process.
     pub host: HostSettings,
-    /// Where callers connect to.
+    /// Address that callers connect to, `IP:PORT`.
     pub callers_addr: String,
-    /// Where operators connect to.
+    /// Address of the operators' endpoints, `IP:PORT`.
     pub operators_addr: String,
-    /// Where the platform is.
+    /// Address and polling of the platform's services.
     pub platform: PlatformSettings,
-    /// Keys of session tokens: the first signs, all are accepted.
+    /// Keys of session tokens: the first one signs new tokens, tokens signed with any of them are accepted.
     pub session_keys: Vec<Secret>,
-    /// What callers may ask for.
+    /// Limits on callers' requests and connections.
     #[serde(default)]
     pub callers: CallerLimits,
-    /// How it chooses an upstream.
+    /// Selection of upstreams.
     #[serde(default)]
     pub placement: PlacementSettings,
-    /// How it tries again.
+    /// Retries and ejection of failing upstreams.
     #[serde(default)]
     pub retries: RetrySettings,
-    /// How answers are rated.
+    /// Sampling of responses for quality ratings.
     #[serde(default)]
     pub ratings: RatingSettings,
-    /// How it claims idempotency keys.
+    /// Batching and timeout of idempotency-key claims.
     #[serde(default)]
     pub claims: ClaimSettings,
-    /// How it brings records to the ledger.
+    /// Delivery of bill records to the ledger.
     #[serde(default)]
     pub bill: BillSettings,
-    /// How often it speaks and how long it waits.
+    /// Heartbeat interval, timeouts and grace periods.
     #[serde(default)]
     pub timing: TimingSettings,
-    /// The largest message on a connection.
+    /// Maximum size of a message on a connection.
     #[serde(default = "default_max_frame_bytes")]
     pub max_frame_bytes: usize,
 }
@@ -139,26 +139,26 @@
 }
 
 impl Validate for EntrySettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.section("host", &self.host);
-        problems.address("callers_addr", &self.callers_addr);
-        problems.address("operators_addr", &self.operators_addr);
-        problems.section("platform", &self.platform);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_section("host", &self.host);
+        problems.check_address("callers_addr", &self.callers_addr);
+        problems.check_address("operators_addr", &self.operators_addr);
+        problems.check_section("platform", &self.platform);
         if self.session_keys.is_empty() {
             problems.add("session_keys", "must hold at least one key");
         }
-        if self.session_keys.iter().any(|key| key.reveal().len() < MIN_KEY_LEN) {
+        if self.session_keys.iter().any(|key| key.reveal().len() < MIN_KEY_BYTES) {
             problems
-                .add("session_keys", format!("each must have at least {MIN_KEY_LEN} characters"));
+                .add("session_keys", format!("each must have at least {MIN_KEY_BYTES} characters"));
         }
-        problems.section("callers", &self.callers);
-        problems.section("placement", &self.placement);
-        problems.section("retries", &self.retries);
-        problems.section("ratings", &self.ratings);
-        problems.section("claims", &self.claims);
-        problems.section("bill", &self.bill);
-        problems.section("timing", &self.timing);
-        problems.range("max_frame_bytes", self.max_frame_bytes, 65_536..=(64 << 20));
+        problems.check_section("callers", &self.callers);
+        problems.check_section("placement", &self.placement);
+        problems.check_section("retries", &self.retries);
+        problems.check_section("ratings", &self.ratings);
+        problems.check_section("claims", &self.claims);
+        problems.check_section("bill", &self.bill);
+        problems.check_section("timing", &self.timing);
+        problems.check_range("max_frame_bytes", self.max_frame_bytes, 65_536..=(64 << 20));
         if self.max_frame_bytes < self.callers.max_body_bytes + FRAME_OVERHEAD_BYTES {
             problems.add(
                 "max_frame_bytes",
@@ -168,5 +168,5 @@
     }
 }
 
-/// What a message adds to the body it carries, generously.
+/// Upper bound on what a message adds to the body that it carries.
 const FRAME_OVERHEAD_BYTES: usize = 16_384;
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a settings file.
+//! Errors in a settings file.
 
 use std::fmt;
 use std::io;
@@ -6,16 +6,16 @@
 
 use displaydoc::Display;
 
-/// One thing that is wrong, and where.
+/// One invalid, missing or unknown value, with its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsProblem {
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The key, with the sections it stands in.
+    /// Path of the key, with the sections around it.
     pub key: String,
-    /// What stands there; empty when nothing does.
+    /// Text of the value; empty if the key has none.
     pub value: String,
-    /// What would be right.
+    /// What is expected.
     pub message: String,
 }
 
@@ -29,37 +29,37 @@
     }
 }
 
-/// Why settings were refused.
+/// Why a settings file was rejected.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum SettingsError {
     /// cannot read settings file {path}: {cause}
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         cause: io::Error,
     },
     /// {file}: line {line}, column {column}: not JSON with comments: {message}
     Syntax {
         /// The file.
         file: String,
-        /// The line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The column, from 1.
+        /// Column number, from 1.
         column: usize,
-        /// What the parser says.
+        /// The parser's message.
         message: String,
     },
     /// {file}: {problems}
     Problems {
         /// The file.
         file: String,
-        /// All that is wrong.
+        /// All problems of the file.
         problems: SettingsProblems,
     },
 }
 
-/// All that is wrong with a file, in the order of its lines.
+/// All problems of a file, in the order of their lines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsProblems(pub Vec<SettingsProblem>);
 
--- a/crates/settings/src/gateway/cold_upstreams.rs
+++ b/crates/settings/src/gateway/cold_upstreams.rs
@@ -1,4 +1,4 @@
-//! What may come to an upstream that is cold.
+//! Rate limit of upstreams that are warming up.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,17 +6,17 @@
 use crate::Problems;
 use crate::Validate;
 
-/// Above these nothing is bounded; what is greater still is taken for a mistake.
+/// Values this high bound nothing, and higher ones are rejected as mistakes.
 const MAX_OVERAGE: f64 = 1_000.0;
 const MAX_SLACK_PER_S: f64 = 1e9;
 
-/// What may come to an upstream that is cold, from all entries together.
+/// Rate limit of an upstream that is warming up, over all gateways together.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ColdUpstreamSettings {
-    /// So many times the requests a second that its service says it bears.
+    /// Factor on the rate, in requests per second, that the service states for an upstream that is warming up.
     pub overage: f64,
-    /// And so many requests a second besides.
+    /// Requests per second allowed in addition.
     pub slack_per_s: f64,
 }
 
@@ -27,8 +27,8 @@
 }
 
 impl Validate for ColdUpstreamSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.range("overage", self.overage, 0.0..=MAX_OVERAGE);
-        problems.range("slack_per_s", self.slack_per_s, 0.0..=MAX_SLACK_PER_S);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_range("overage", self.overage, 0.0..=MAX_OVERAGE);
+        problems.check_range("slack_per_s", self.slack_per_s, 0.0..=MAX_SLACK_PER_S);
     }
 }
--- a/crates/settings/src/gateway/decisions.rs
+++ b/crates/settings/src/gateway/decisions.rs
@@ -1,4 +1,4 @@
-//! Which mechanisms decide about models and upstreams.
+//! Switches of the mechanisms that choose models and upstreams.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,20 +6,20 @@
 use crate::Problems;
 use crate::Validate;
 
-/// Which mechanisms decide about models and upstreams. All are on; tests and measurements
-/// switch single ones off to see what they are worth.
+/// Switches of the mechanisms that choose models and upstreams. All are on by default; tests and measurements switch
+/// single ones off to determine their effect.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DecisionSettings {
-    /// Long prompts are steered to one upstream of all availability zones, not to one in each.
+    /// Long prompts have one affinity upstream across all availability zones, not one in each.
     pub has_fleet_homes: bool,
-    /// How fast engines read prompts is learnt from their answers.
+    /// The prefill speed of engines is learned from their responses.
     pub learns_speeds: bool,
-    /// A better model is asked only if its answer is expected in time.
+    /// A better model is used only if its response is expected in time.
     pub needs_better_in_time: bool,
-    /// Entries tell each other what work is in progress.
+    /// Gateways publish their requests in progress to each other.
     pub tells_work: bool,
-    /// How many other requests the reading of a prompt is reckoned to hold up.
+    /// Number of other requests that the prefill of a prompt is estimated to delay.
     pub held_up_by_reading: f64,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Validate for DecisionSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.range("held_up_by_reading", self.held_up_by_reading, 0.0..=100.0);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_range("held_up_by_reading", self.held_up_by_reading, 0.0..=100.0);
     }
 }
--- a/crates/settings/src/gateway/host.rs
+++ b/crates/settings/src/gateway/host.rs
@@ -1,4 +1,4 @@
-//! Who a gateway is: its host and its zone.
+//! Host of a gateway: its name, availability zone and link.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,21 +6,21 @@
 use stallhoist_core::LinkRate;
 use stallhoist_core::ZoneName;
 
-/// Who a gateway is.
+/// Host of a gateway.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayHost {
-    /// The host's name.
+    /// Name of the host.
     pub id: HostId,
-    /// The host's availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// What its link carries: the hosts with the fastest links follow the store for all.
+    /// Capacity of the network link: the hosts with the fastest links follow the store for all gateways.
     #[serde(default)]
     pub link: LinkRate,
 }
 
 impl Default for GatewayHost {
-    /// A host on loopback, for tests.
+    /// A host on the loopback interface, for tests.
     fn default() -> Self {
         Self {
             id: "host-1".parse().expect("a valid name"),
--- a/crates/settings/src/gateway/rollouts.rs
+++ b/crates/settings/src/gateway/rollouts.rs
@@ -1,4 +1,4 @@
-//! How new versions are brought in.
+//! Rollout of new versions.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,12 +6,12 @@
 use crate::Problems;
 use crate::Validate;
 
-/// How new versions are brought in.
+/// Limits on the rollout of new versions.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RolloutSettings {
-    /// The most of a service's requests that a version may get in its time which turns out to be
-    /// bad, from 0 to 1.
+    /// Maximum share of a service's requests, from 0 to 1, that a version may receive during its rollout if it turns out
+    /// to be bad.
     pub max_exposure: f64,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl Validate for RolloutSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.range("max_exposure", self.max_exposure, 0.0..=1.0);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_range("max_exposure", self.max_exposure, 0.0..=1.0);
     }
 }
--- a/crates/settings/src/gateway/whole.rs
+++ b/crates/settings/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! All settings of a gateway.
+//! The complete settings file of a gateway.
 
 use std::collections::BTreeMap;
 
@@ -24,53 +24,53 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// Who the process is.
+    /// Host of the process.
     pub host: GatewayHost,
-    /// Where callers connect to.
+    /// Address that callers connect to, `IP:PORT`.
     pub callers_addr: String,
-    /// Where the platform asks whether callers should be sent here.
+    /// Address of the readiness check, `IP:PORT`: the platform asks there whether callers may be sent to this gateway.
     pub readiness_addr: String,
-    /// The path that it asks.
+    /// Path of the readiness check.
     pub readiness_path: String,
-    /// Where metrics and the state dump are served.
+    /// Address of the metrics and the state dump, `IP:PORT`.
     pub operators_addr: String,
-    /// Where other entries ask this one for news.
+    /// Address where peers poll this gateway for updates, `IP:PORT`.
     pub peers_addr: String,
-    /// Where some other entries can be asked by one that starts while the store is away.
+    /// Addresses of some peers, `IP:PORT`, that are polled by a gateway that starts while the store is unavailable.
     #[serde(default)]
     pub seeds: Vec<String>,
-    /// Where the platform's store is.
+    /// Address and timeouts of the platform's store.
     pub store: StoreSettings,
-    /// The region of each availability zone. Data with homes goes only to zones that are named here.
+    /// Region of each availability zone. Data with allowed regions goes only to zones that are named here.
     #[serde(default)]
     pub regions: BTreeMap<ZoneName, RegionName>,
-    /// How upstreams are called.
+    /// Timeouts of connections to upstreams.
     #[serde(default)]
     pub upstream: UpstreamCallSettings,
-    /// When a better model is asked.
+    /// When a better model is used.
     #[serde(default)]
     pub step_up: StepUpSettings,
-    /// Which mechanisms decide about models and upstreams.
+    /// Switches of the mechanisms that choose models and upstreams.
     #[serde(default)]
     pub decisions: DecisionSettings,
-    /// How many further attempts are made.
+    /// Retry budget that all gateways share.
     #[serde(default)]
     pub retries: GatewayRetrySettings,
-    /// How new versions are brought in.
+    /// Limits on the rollout of new versions.
     #[serde(default)]
     pub rollouts: RolloutSettings,
-    /// What may come to an upstream that is cold; absent, nothing is bounded.
+    /// Rate limit of upstreams that are warming up; no limit if absent.
     #[serde(default)]
     pub cold_upstreams: Option<ColdUpstreamSettings>,
-    /// How a planned stop goes.
+    /// Planned stop of the gateway.
     #[serde(default)]
     pub stop: StopSettings,
-    /// How long a session lasts after its last request.
+    /// Time that a session lasts after its last request.
     #[serde(default = "default_session")]
     pub session: TimeSpan,
 }
 
-/// A year: a session that lasts for ever, for all that a process lives to see.
+/// A year, longer than any process runs: such a session never ends.
 const MAX_SESSION: TimeSpan = TimeSpan::from_secs(365 * 86_400);
 
 fn default_session() -> TimeSpan {
@@ -102,27 +102,27 @@
 }
 
 impl Validate for GatewaySettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.address("callers_addr", &self.callers_addr);
-        problems.address("readiness_addr", &self.readiness_addr);
-        problems.address("operators_addr", &self.operators_addr);
-        problems.address("peers_addr", &self.peers_addr);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_address("callers_addr", &self.callers_addr);
+        problems.check_address("readiness_addr", &self.readiness_addr);
+        problems.check_address("operators_addr", &self.operators_addr);
+        problems.check_address("peers_addr", &self.peers_addr);
         for seed in &self.seeds {
-            problems.address("seeds", seed);
+            problems.check_address("seeds", seed);
         }
         if !self.readiness_path.starts_with('/') {
             problems.add("readiness_path", "must begin with a slash");
         }
-        problems.section("store", &self.store);
-        problems.section("upstream", &self.upstream);
-        problems.section("step_up", &self.step_up);
-        problems.section("decisions", &self.decisions);
-        problems.section("retries", &self.retries);
-        problems.section("rollouts", &self.rollouts);
+        problems.check_section("store", &self.store);
+        problems.check_section("upstream", &self.upstream);
+        problems.check_section("step_up", &self.step_up);
+        problems.check_section("decisions", &self.decisions);
+        problems.check_section("retries", &self.retries);
+        problems.check_section("rollouts", &self.rollouts);
         if let Some(cold_upstreams) = &self.cold_upstreams {
-            problems.section("cold_upstreams", cold_upstreams);
+            problems.check_section("cold_upstreams", cold_upstreams);
         }
-        problems.section("stop", &self.stop);
-        problems.range("session", self.session, TimeSpan::from_secs(0)..=MAX_SESSION);
+        problems.check_section("stop", &self.stop);
+        problems.check_range("session", self.session, TimeSpan::from_secs(0)..=MAX_SESSION);
     }
 }
--- a/crates/settings/src/gateway/step_up.rs
+++ b/crates/settings/src/gateway/step_up.rs
@@ -1,4 +1,4 @@
-//! When an answer of a small model is dropped and a better one asked.
+//! Step-up from a small model's response to a better model.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,12 +6,12 @@
 use crate::Problems;
 use crate::Validate;
 
-/// When an answer of a small model is dropped and a better one asked.
+/// When the response of a small model is discarded and a better model is used.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StepUpSettings {
-    /// Below this opinion of its own answer: one for each priority, the most urgent
-    /// first; the last holds for all that follow.
+    /// A response is discarded if the model's confidence in it is below this: one threshold for each priority, the most
+    /// urgent one first; the last one applies to all further priorities.
     pub below_confidence_percent: Vec<u8>,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl Validate for StepUpSettings {
-    fn check(&self, problems: &mut Problems) {
+    fn validate(&self, problems: &mut Problems) {
         if self.below_confidence_percent.is_empty() {
             problems.add("below_confidence_percent", "must hold at least one number");
         }
--- a/crates/settings/src/gateway/stop.rs
+++ b/crates/settings/src/gateway/stop.rs
@@ -1,4 +1,4 @@
-//! How a planned stop goes.
+//! Planned stop of a gateway.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,14 +7,14 @@
 use crate::TimeSpan;
 use crate::Validate;
 
-/// A day: no stop is waited for so long.
+/// A day, longer than any stop takes.
 const MAX_GRACE: TimeSpan = TimeSpan::from_secs(86_400);
 
-/// How a planned stop goes.
+/// Planned stop of a gateway.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StopSettings {
-    /// The time from the signal to stop until the platform kills the process.
+    /// Time from the stop signal until the platform kills the process.
     pub grace: TimeSpan,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl Validate for StopSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.range("grace", self.grace, TimeSpan::from_secs(0)..=MAX_GRACE);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_range("grace", self.grace, TimeSpan::from_secs(0)..=MAX_GRACE);
     }
 }
--- a/crates/settings/src/gateway/store.rs
+++ b/crates/settings/src/gateway/store.rs
@@ -1,4 +1,4 @@
-//! Where the platform's store is, and how it is asked.
+//! Address and timeouts of the platform's store.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,16 +6,16 @@
 use crate::Problems;
 use crate::Validate;
 
-/// Where the platform's store is, and how it is asked.
+/// Address and timeouts of the platform's store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Its address.
+    /// Address of the store, `IP:PORT`.
     pub addr: String,
-    /// How long a call waits for news. Shorter waits cost more calls; longer ones find
-    /// out later that the store is away.
+    /// Time that a follow call waits for changes. Shorter waits cost more calls; longer ones detect later that the store
+    /// is unavailable.
     pub follow_wait_ms: u64,
-    /// The longest that any other call may take.
+    /// Timeout of all other calls.
     pub call_timeout_ms: u64,
 }
 
@@ -26,9 +26,9 @@
 }
 
 impl Validate for StoreSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.address("addr", &self.addr);
-        problems.range("follow_wait_ms", self.follow_wait_ms, 100..=30_000);
-        problems.range("call_timeout_ms", self.call_timeout_ms, 50..=30_000);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_address("addr", &self.addr);
+        problems.check_range("follow_wait_ms", self.follow_wait_ms, 100..=30_000);
+        problems.check_range("call_timeout_ms", self.call_timeout_ms, 50..=30_000);
     }
 }
--- a/crates/settings/src/gateway/upstream_calls.rs
+++ b/crates/settings/src/gateway/upstream_calls.rs
@@ -1,4 +1,4 @@
-//! How upstreams are called.
+//! Timeouts of connections to upstreams.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,15 +6,14 @@
 use crate::Problems;
 use crate::Validate;
 
-/// How upstreams are called.
+/// Timeouts of connections to upstreams.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct UpstreamCallSettings {
-    /// The longest that a connection may take to come up. A lost packet is sent again
-    /// only after a second, so another upstream is tried before that.
+    /// Timeout for establishing a connection. A lost packet is retransmitted only after a second, so another upstream is
+    /// tried before that.
     pub connect_timeout_ms: u64,
-    /// How long the system of an upstream's host may be silent before the connection is
-    /// taken for broken.
+    /// Time that the operating system of an upstream's host may be silent before the connection counts as broken.
     pub silence_timeout_ms: u64,
 }
 
@@ -25,8 +24,8 @@
 }
 
 impl Validate for UpstreamCallSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.range("connect_timeout_ms", self.connect_timeout_ms, 10..=10_000);
-        problems.range("silence_timeout_ms", self.silence_timeout_ms, 500..=60_000);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_range("connect_timeout_ms", self.connect_timeout_ms, 10..=10_000);
+        problems.check_range("silence_timeout_ms", self.silence_timeout_ms, 500..=60_000);
     }
 }
--- a/crates/settings/src/host.rs
+++ b/crates/settings/src/host.rs
@@ -1,4 +1,4 @@
-//! Who the process is.
+//! Identity of a process, and the keys of its fleet.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,36 +9,36 @@
 use crate::Secret;
 use crate::Validate;
 
-const MIN_KEY_LEN: usize = 16;
+const MIN_KEY_BYTES: usize = 16;
 
-/// Who the process is, and the key it shares with its fleet.
+/// Identity of a process, and the keys that it shares with its fleet.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostSettings {
-    /// The host's name in the platform's host list.
+    /// Name of the host in the platform's host list.
     pub id: HostId,
-    /// The host's availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// The key that all processes of the fleet share, at least 16 characters.
+    /// Key by which the processes of a fleet authenticate each other, at least 16 characters.
     pub fleet_key: Secret,
-    /// The key that operators' endpoints ask for, at least 16 characters.
+    /// Key that the operators' endpoints require, at least 16 characters.
     pub operators_key: Secret,
 }
 
 impl Validate for HostSettings {
-    fn check(&self, problems: &mut Problems) {
+    fn validate(&self, problems: &mut Problems) {
         for (key, secret) in
             [("fleet_key", &self.fleet_key), ("operators_key", &self.operators_key)]
         {
-            if secret.reveal().len() < MIN_KEY_LEN {
-                problems.add(key, format!("must have at least {MIN_KEY_LEN} characters"));
+            if secret.reveal().len() < MIN_KEY_BYTES {
+                problems.add(key, format!("must have at least {MIN_KEY_BYTES} characters"));
             }
         }
     }
 }
 
 impl Default for HostSettings {
-    /// A host on loopback, for tests and the one-process mode.
+    /// A host on the loopback interface, for tests and the one-process mode.
     fn default() -> Self {
         Self {
             id: "host-1".parse().expect("a valid name"),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,12 @@
-//! Settings files in JSON with comments, checked whole before anything starts.
+//! Settings files in JSON with comments, validated completely before anything starts.
 //!
-//! This crate exists so that a wrong setting is refused at start, with the file,
-//! the line, the key, the value and what would be right, and so that all that is
-//! wrong is said at once. `stallhoist check-settings` runs the same code.
+//! An invalid setting is rejected at startup with the file, the line, the key, the value and the expected form, and
+//! all problems of a file are reported at once. `stallhoist check-settings` runs the same code.
 //!
-//! Every key carries its unit, or its value does. Ranges are part of the type of each section, so a
-//! value in the wrong unit is caught as out of range.
+//! Every key carries its unit, or its value does. The type of each section validates the ranges of its values, so that
+//! a value in the wrong unit is rejected as out of range.
+//!
+//! Read [`load()`] first, then [`Problems`]; each of the other modules holds one section or a value type.
 
 mod admission;
 mod claims;
@@ -15,9 +16,9 @@
 mod host;
 mod load;
 mod placement;
+mod platform;
 mod problems;
 mod secret;
-mod service;
 mod sidecar;
 mod time_span;
 mod timing;
@@ -47,10 +48,10 @@
 pub use load::parse;
 pub use placement::PlacementSettings;
 pub use placement::RetrySettings;
+pub use platform::PlatformSettings;
 pub use problems::Problems;
 pub use problems::Validate;
 pub use secret::Secret;
-pub use service::PlatformSettings;
 pub use sidecar::SidecarSettings;
 pub use time_span::TimeSpan;
 pub use time_span::TimeSpanError;
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,9 +1,8 @@
-//! Reading a settings file.
+//! Parsing and validation of a settings file.
 //!
-//! serde stops at the first error, and the parser's own positions are lost on the
-//! way. So errors are found by path, and the path is looked up in the syntax tree;
-//! after each error the offending value is taken out and the rest is read again,
-//! until nothing more can be learnt.
+//! serde stops at the first error and doesn't keep the parser's positions. Errors are therefore identified by path, and
+//! the path is located in the syntax tree. After each error the invalid value is removed and the rest is deserialized
+//! again, until no further error can be found.
 
 use std::fs;
 use std::path::Path;
@@ -22,33 +21,33 @@
 use crate::Validate;
 
 const MAX_PROBLEMS: usize = 20;
-const MAX_SHOWN_VALUE_CHARS: usize = 60;
-const SECRET_KEYS: [&str; 2] = ["key", "keys"];
+const MAX_DISPLAYED_VALUE_CHARS: usize = 60;
+const SECRET_KEY_WORDS: [&str; 2] = ["key", "keys"];
 
-/// Reads and checks a settings file.
+/// Reads, parses and validates a settings file.
 ///
 /// # Errors
-/// Fails with all that is wrong: unreadable, not JSON with comments, unknown,
-/// doubled, missing or ill-typed keys, values out of range.
+/// Fails if the file can't be read or isn't JSON with comments, or with all its problems: unknown, duplicate or missing
+/// keys, values of the wrong type or out of range.
 pub fn load<T: DeserializeOwned + Validate>(path: &Path) -> Result<T, SettingsError> {
     let text = fs::read_to_string(path)
         .map_err(|cause| SettingsError::Unreadable { path: path.to_owned(), cause })?;
     parse(&path.display().to_string(), &text)
 }
 
-/// Reads and checks settings from a text; `file` names it in errors.
+/// Parses and validates settings; `file` is the name that errors show.
 ///
 /// # Errors
-/// As [`load`].
+/// Fails as [`load`] does, except that no file is read.
 pub fn parse<T: DeserializeOwned + Validate>(file: &str, text: &str) -> Result<T, SettingsError> {
     let tree = parse_tree(file, text)?;
-    let mut problems = doubled_keys(&tree, text);
-    let parsed = read::<T>(&tree, text, &mut problems);
+    let mut problems = duplicate_keys(&tree, text);
+    let parsed = deserialize_tree::<T>(&tree, text, &mut problems);
     if let Some(settings) = parsed
         && problems.is_empty()
     {
         let mut found = Problems::default();
-        settings.check(&mut found);
+        settings.validate(&mut found);
         for (key, message) in found.into_found() {
             problems.push(problem_at(&tree, text, &key, message));
         }
@@ -81,39 +80,39 @@
     parsed.value.ok_or_else(|| syntax(1, 1, "the file is empty".to_owned()))
 }
 
-/// Reads as much as can be read; each error is noted and its value taken out.
-fn read<T: DeserializeOwned>(
+/// Deserializes as much as possible: records each error, removes its value and tries again.
+fn deserialize_tree<T: DeserializeOwned>(
     tree: &ast::Value<'_>,
     text: &str,
     problems: &mut Vec<SettingsProblem>,
 ) -> Option<T> {
     let mut value = Value::from(tree.clone());
-    let mut taken_out: Vec<Vec<String>> = Vec::new();
+    let mut removed: Vec<Vec<String>> = Vec::new();
     while problems.len() < MAX_PROBLEMS {
         let error = match serde_path_to_error::deserialize::<_, T>(value.clone()) {
             Ok(settings) => return Some(settings),
             Err(error) => error,
         };
-        let mut path = path_of(error.path());
+        let mut path = path_segments(error.path());
         let message = error.inner().to_string();
         if let Some(unknown) = unknown_key(&message)
             && path.last() != Some(&unknown)
         {
             path.push(unknown);
         }
-        // What was taken out for being wrong is not missing.
-        if !is_missing_for(&message, &path, &taken_out) {
+        // A value that was removed as invalid isn't reported as missing.
+        if !is_missing_after_removal(&message, &path, &removed) {
             problems.push(problem_at(tree, text, &path.join("."), message));
         }
-        if !take_out(&mut value, &path) {
+        if !remove_value(&mut value, &path) {
             return None;
         }
-        taken_out.push(path);
+        removed.push(path);
     }
     None
 }
 
-fn path_of(path: &serde_path_to_error::Path) -> Vec<String> {
+fn path_segments(path: &serde_path_to_error::Path) -> Vec<String> {
     path.iter()
         .map(ToString::to_string)
         .filter(|part| part != "?")
@@ -121,23 +120,23 @@
         .collect()
 }
 
-/// The key that serde calls unknown: its path ends at the section around it.
+/// The key that serde reports as unknown: the path of such an error ends at the section around the key.
 fn unknown_key(message: &str) -> Option<String> {
     let rest = message.strip_prefix("unknown field `")?;
     rest.split('`').next().map(str::to_owned)
 }
 
-/// Whether an error only says that a value is missing which was taken out before.
-fn is_missing_for(message: &str, path: &[String], taken_out: &[Vec<String>]) -> bool {
+/// Whether an error reports a value as missing that was removed before.
+fn is_missing_after_removal(message: &str, path: &[String], removed: &[Vec<String>]) -> bool {
     let Some(field) = message.strip_prefix("missing field `").and_then(|m| m.strip_suffix('`'))
     else {
         return false;
     };
     let missing: Vec<&str> = path.iter().map(String::as_str).chain([field]).collect();
-    taken_out.iter().any(|taken| taken.iter().map(String::as_str).eq(missing.iter().copied()))
+    removed.iter().any(|taken| taken.iter().map(String::as_str).eq(missing.iter().copied()))
 }
 
-fn take_out(value: &mut Value, path: &[String]) -> bool {
+fn remove_value(value: &mut Value, path: &[String]) -> bool {
     let Some((last, sections)) = path.split_last() else {
         return false;
     };
@@ -160,23 +159,23 @@
 }
 
 fn problem_at(tree: &ast::Value<'_>, text: &str, key: &str, message: String) -> SettingsProblem {
-    let found = lookup(tree, key);
+    let found = locate(tree, key);
     let value = found.exact.map(|range| text[range.0..range.1].to_owned());
     SettingsProblem {
         line: line_of(text, found.position),
         key: if key.is_empty() { "(whole file)".to_owned() } else { key.to_owned() },
-        value: shown_value(key, &value.unwrap_or_default()),
+        value: displayed_value(key, &value.unwrap_or_default()),
         message,
     }
 }
 
-/// Where a key stands, or the nearest section around it.
-struct Found {
+/// Location of a key, or of the innermost section around it that exists.
+struct Location {
     position: usize,
     exact: Option<(usize, usize)>,
 }
 
-fn lookup(tree: &ast::Value<'_>, key: &str) -> Found {
+fn locate(tree: &ast::Value<'_>, key: &str) -> Location {
     let mut at = tree;
     let mut position = tree.start();
     for part in key.split('.').filter(|part| !part.is_empty()) {
@@ -190,36 +189,36 @@
             _ => None,
         };
         let Some((start, value)) = inner else {
-            return Found { position, exact: None };
+            return Location { position, exact: None };
         };
         position = start;
         at = value;
     }
     let is_leaf = !matches!(at, ast::Value::Object(_) | ast::Value::Array(_));
     let exact = (is_leaf && !key.is_empty()).then(|| (at.start(), at.end()));
-    Found { position, exact }
+    Location { position, exact }
 }
 
-fn shown_value(key: &str, value: &str) -> String {
+fn displayed_value(key: &str, value: &str) -> String {
     let last = key.rsplit('.').next().unwrap_or_default();
-    let is_secret = SECRET_KEYS.iter().any(|part| last.split('_').any(|word| word == *part));
+    let is_secret = SECRET_KEY_WORDS.iter().any(|part| last.split('_').any(|word| word == *part));
     if is_secret && !value.is_empty() {
         return "(not shown)".to_owned();
     }
-    value.chars().take(MAX_SHOWN_VALUE_CHARS).collect()
+    value.chars().take(MAX_DISPLAYED_VALUE_CHARS).collect()
 }
 
 fn line_of(text: &str, position: usize) -> usize {
     text.as_bytes()[..position].iter().filter(|b| **b == b'\n').count() + 1
 }
 
-fn doubled_keys(tree: &ast::Value<'_>, text: &str) -> Vec<SettingsProblem> {
+fn duplicate_keys(tree: &ast::Value<'_>, text: &str) -> Vec<SettingsProblem> {
     let mut problems = Vec::new();
     if let ast::Value::Object(object) = tree {
         for (at, property) in object.properties.iter().enumerate() {
             let name = property.name.as_str();
-            let is_doubled = object.properties[..at].iter().any(|p| p.name.as_str() == name);
-            if is_doubled {
+            let is_duplicate = object.properties[..at].iter().any(|p| p.name.as_str() == name);
+            if is_duplicate {
                 problems.push(SettingsProblem {
                     line: line_of(text, property.start()),
                     key: name.to_owned(),
@@ -227,7 +226,7 @@
                     message: "the key stands twice".to_owned(),
                 });
             }
-            problems.extend(doubled_keys(&property.value, text));
+            problems.extend(duplicate_keys(&property.value, text));
         }
     }
     problems
--- a/crates/settings/src/placement.rs
+++ b/crates/settings/src/placement.rs
@@ -1,4 +1,4 @@
-//! How an entry chooses an upstream and tries again.
+//! Selection of upstreams, and retries.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,19 +6,19 @@
 use crate::Problems;
 use crate::Validate;
 
-/// How an entry chooses an upstream.
+/// How an entry selects an upstream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlacementSettings {
-    /// How many upstreams of each target the entry stays connected to.
+    /// Number of upstreams of each target that the entry stays connected to.
     pub subset_size: usize,
-    /// How many of them it asks for each request.
+    /// Number of connected upstreams that are probed for each request.
     pub probes: usize,
-    /// How long it waits for their answers.
+    /// Time that the entry waits for replies to its probes.
     pub probe_timeout_ms: u64,
-    /// How many tokens of a prompt one block of the prefix cache holds.
+    /// Number of prompt tokens in one block of the prefix cache.
     pub prefix_block_tokens: u64,
-    /// Sidecars to connect to while the host list has never been read, `IP:PORT`.
+    /// Addresses of sidecars to connect to until the host list has been read for the first time, `IP:PORT`.
     pub seed_addrs: Vec<String>,
 }
 
@@ -35,32 +35,32 @@
 }
 
 impl Validate for PlacementSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.range("subset_size", self.subset_size, 1..=1_000);
-        problems.range("probes", self.probes, 1..=16);
-        problems.range("probe_timeout_ms", self.probe_timeout_ms, 1..=5_000);
-        problems.range("prefix_block_tokens", self.prefix_block_tokens, 1..=4_096);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_range("subset_size", self.subset_size, 1..=1_000);
+        problems.check_range("probes", self.probes, 1..=16);
+        problems.check_range("probe_timeout_ms", self.probe_timeout_ms, 1..=5_000);
+        problems.check_range("prefix_block_tokens", self.prefix_block_tokens, 1..=4_096);
         for addr in &self.seed_addrs {
-            problems.address("seed_addrs", addr);
+            problems.check_address("seed_addrs", addr);
         }
     }
 }
 
-/// How an entry tries again.
+/// Retries of an entry, and ejection of failing upstreams.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RetrySettings {
-    /// The most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Further attempts allowed for each hundred requests.
+    /// Retries allowed for each hundred requests.
     pub budget_percent: u32,
-    /// Further attempts allowed in a burst.
+    /// Retries allowed in a burst.
     pub burst: u32,
-    /// Failures in a row after which an upstream gets no work for a while.
+    /// Number of consecutive failures after which an upstream is ejected: it receives no requests for a time.
     pub eject_after_failures: u32,
-    /// The pause before an ejected upstream is tried again; doubles each time.
+    /// Duration of the first ejection; doubles with each further one.
     pub eject_ms: u64,
-    /// The most upstreams of a target that may be ejected at once, in percent.
+    /// Maximum percentage of a target's upstreams that may be ejected at once.
     pub max_ejected_percent: u32,
 }
 
@@ -78,12 +78,12 @@
 }
 
 impl Validate for RetrySettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.range("max_attempts", self.max_attempts, 1..=10);
-        problems.range("budget_percent", self.budget_percent, 0..=100);
-        problems.range("burst", self.burst, 0..=10_000);
-        problems.range("eject_after_failures", self.eject_after_failures, 1..=1_000);
-        problems.range("eject_ms", self.eject_ms, 10..=600_000);
-        problems.range("max_ejected_percent", self.max_ejected_percent, 0..=90);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_range("max_attempts", self.max_attempts, 1..=10);
+        problems.check_range("budget_percent", self.budget_percent, 0..=100);
+        problems.check_range("burst", self.burst, 0..=10_000);
+        problems.check_range("eject_after_failures", self.eject_after_failures, 1..=1_000);
+        problems.check_range("eject_ms", self.eject_ms, 10..=600_000);
+        problems.check_range("max_ejected_percent", self.max_ejected_percent, 0..=90);
     }
 }
--- a/crates/settings/src/service.rs
+++ b/crates/settings/src/platform.rs
@@ -1,4 +1,4 @@
-//! Where the platform is.
+//! Address and polling of the platform's services.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,19 +6,19 @@
 use crate::Problems;
 use crate::Validate;
 
-/// Where the platform's services are, and how patient to be with them.
+/// Address of the platform's services, timeout of calls to them and polling intervals.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// The platform's address, `http://IP:PORT`.
+    /// URL of the platform, `http://IP:PORT`.
     pub url: String,
-    /// How long one call may take.
+    /// Timeout of one call.
     #[serde(default = "default_call_timeout_ms")]
     pub call_timeout_ms: u64,
-    /// How often the host list is read.
+    /// Interval at which the host list is read.
     #[serde(default = "default_host_list_poll_ms")]
     pub host_list_poll_ms: u64,
-    /// How often the table's head is read as a fallback to the mesh.
+    /// Interval at which the table's head is read, in case the mesh has not delivered a new one.
     #[serde(default = "default_table_poll_ms")]
     pub table_poll_ms: u64,
 }
@@ -47,10 +47,10 @@
 }
 
 impl Validate for PlatformSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.http_url("url", &self.url);
-        problems.range("call_timeout_ms", self.call_timeout_ms, 10..=30_000);
-        problems.range("host_list_poll_ms", self.host_list_poll_ms, 50..=60_000);
-        problems.range("table_poll_ms", self.table_poll_ms, 50..=60_000);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_http_url("url", &self.url);
+        problems.check_range("call_timeout_ms", self.call_timeout_ms, 10..=30_000);
+        problems.check_range("host_list_poll_ms", self.host_list_poll_ms, 50..=60_000);
+        problems.check_range("table_poll_ms", self.table_poll_ms, 50..=60_000);
     }
 }
--- a/crates/settings/src/problems.rs
+++ b/crates/settings/src/problems.rs
@@ -1,16 +1,16 @@
-//! Collecting what is wrong with values that parsed.
+//! Validation of values that parsed, and collection of the problems found.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// A section that checks its own values.
+/// A settings section that validates its own values.
 pub trait Validate {
-    /// Says all that is wrong.
-    fn check(&self, problems: &mut Problems);
+    /// Adds every invalid value to `problems`.
+    fn validate(&self, problems: &mut Problems);
 }
 
-/// What is wrong so far, by key.
+/// The problems found so far, each with the path of its key.
 #[derive(Debug, Default)]
 pub struct Problems {
     section: Vec<&'static str>,
@@ -18,22 +18,22 @@
 }
 
 impl Problems {
-    /// Checks a section under its key.
-    pub fn section(&mut self, key: &'static str, section: &impl Validate) {
+    /// Validates a nested section; its problems are reported under `key`.
+    pub fn check_section(&mut self, key: &'static str, section: &impl Validate) {
         self.section.push(key);
-        section.check(self);
+        section.validate(self);
         self.section.pop();
     }
 
-    /// Says that the value of a key is wrong.
+    /// Reports that the value of a key of the current section is invalid.
     pub fn add(&mut self, key: &str, message: impl Into<String>) {
         let mut path: Vec<&str> = self.section.clone();
         path.push(key);
         self.found.push((path.join("."), message.into()));
     }
 
-    /// Says so when a number is out of its range.
-    pub fn range<T: PartialOrd + Display>(
+    /// Reports a value outside its range.
+    pub fn check_range<T: PartialOrd + Display>(
         &mut self,
         key: &str,
         value: T,
@@ -45,22 +45,22 @@
         }
     }
 
-    /// Says so when a text is empty.
-    pub fn not_empty(&mut self, key: &str, text: &str) {
+    /// Reports an empty string.
+    pub fn check_not_empty(&mut self, key: &str, text: &str) {
         if text.is_empty() {
             self.add(key, "must not be empty");
         }
     }
 
-    /// Says so when a text is no IP address with a port.
-    pub fn address(&mut self, key: &str, text: &str) {
+    /// Reports a string that isn't an IP address with a port.
+    pub fn check_address(&mut self, key: &str, text: &str) {
         if text.parse::<SocketAddr>().is_err() {
             self.add(key, "must be an IP address with a port, as in 10.0.0.7:7000");
         }
     }
 
-    /// Says so when a text is no HTTP address by IP number.
-    pub fn http_url(&mut self, key: &str, text: &str) {
+    /// Reports a string that isn't an `http://` URL of an IP address and a port.
+    pub fn check_http_url(&mut self, key: &str, text: &str) {
         let rest = text.strip_prefix("http://").unwrap_or_default();
         if rest.trim_end_matches('/').parse::<SocketAddr>().is_err() {
             self.add(
--- a/crates/settings/src/secret.rs
+++ b/crates/settings/src/secret.rs
@@ -1,4 +1,4 @@
-//! A text that must not be shown.
+//! A string that must not be printed.
 
 use std::fmt;
 
@@ -6,20 +6,20 @@
 use serde::Serialize;
 use serde::Serializer;
 
-const SHOWN: &str = "(not shown)";
+const REDACTED: &str = "(not shown)";
 
-/// A text that is neither printed nor dumped.
+/// A string whose value appears in no log, error or state dump.
 #[derive(Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct Secret(String);
 
 impl Secret {
-    /// Keeps the text.
+    /// Wraps a secret.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
 
-    /// The text, for the one place that needs it.
+    /// Returns the secret in plain text.
     pub fn reveal(&self) -> &str {
         &self.0
     }
@@ -27,12 +27,12 @@
 
 impl fmt::Debug for Secret {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(SHOWN)
+        f.write_str(REDACTED)
     }
 }
 
 impl Serialize for Secret {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        serializer.serialize_str(SHOWN)
+        serializer.serialize_str(REDACTED)
     }
 }
--- a/crates/settings/src/sidecar.rs
+++ b/crates/settings/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! A sidecar's settings.
+//! Settings of a sidecar.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,29 +16,29 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SidecarSettings {
-    /// Who the process is.
+    /// Identity of the process.
     pub host: HostSettings,
-    /// Where entries connect to.
+    /// Address that gateways connect to, `IP:PORT`.
     pub entries_addr: String,
-    /// Where operators connect to.
+    /// Address of the operators' endpoints, `IP:PORT`.
     pub operators_addr: String,
-    /// Where the platform is.
+    /// Address and polling of the platform's services.
     pub platform: PlatformSettings,
-    /// What stands behind it.
+    /// The upstream that the sidecar serves.
     pub upstream: UpstreamSettings,
-    /// How it admits work.
+    /// Limits of admission to the upstream.
     #[serde(default)]
     pub admission: AdmissionSettings,
-    /// How often it speaks and how long it waits.
+    /// Heartbeat interval, timeouts and grace periods.
     #[serde(default)]
     pub timing: TimingSettings,
-    /// How it holds bill records.
+    /// Storage and delivery of bill records.
     #[serde(default)]
     pub bill: BillSettings,
-    /// The largest message on a connection.
+    /// Maximum size of a message on a connection.
     #[serde(default = "default_max_frame_bytes")]
     pub max_frame_bytes: usize,
-    /// The most bytes of finished answers kept for a resume.
+    /// Maximum size of all finished responses that are kept for a resume.
     #[serde(default = "default_max_kept_answer_bytes")]
     pub max_kept_answer_bytes: usize,
 }
@@ -69,16 +69,16 @@
 }
 
 impl Validate for SidecarSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.section("host", &self.host);
-        problems.address("entries_addr", &self.entries_addr);
-        problems.address("operators_addr", &self.operators_addr);
-        problems.section("platform", &self.platform);
-        problems.section("upstream", &self.upstream);
-        problems.section("admission", &self.admission);
-        problems.section("timing", &self.timing);
-        problems.section("bill", &self.bill);
-        problems.range("max_frame_bytes", self.max_frame_bytes, 65_536..=(64 << 20));
-        problems.range("max_kept_answer_bytes", self.max_kept_answer_bytes, 0..=(1 << 30));
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_section("host", &self.host);
+        problems.check_address("entries_addr", &self.entries_addr);
+        problems.check_address("operators_addr", &self.operators_addr);
+        problems.check_section("platform", &self.platform);
+        problems.check_section("upstream", &self.upstream);
+        problems.check_section("admission", &self.admission);
+        problems.check_section("timing", &self.timing);
+        problems.check_section("bill", &self.bill);
+        problems.check_range("max_frame_bytes", self.max_frame_bytes, 65_536..=(64 << 20));
+        problems.check_range("max_kept_answer_bytes", self.max_kept_answer_bytes, 0..=(1 << 30));
     }
 }
--- a/crates/settings/src/time_span.rs
+++ b/crates/settings/src/time_span.rs
@@ -1,4 +1,4 @@
-//! A length of time with its unit, as in `8.5 s`.
+//! A duration with its unit, as in `8.5 s`.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,24 +12,24 @@
 #[derive(Debug, Display, thiserror::Error, PartialEq, Eq)]
 pub struct TimeSpanError;
 
-/// A length of time with its unit, as in `8.5 s` or `250 ms`: who fills a template has the value in
-/// some unit, perhaps with a fraction, and must not have to convert it.
+/// A duration with its unit, as in `8.5 s` or `250 ms`: the author of a settings template has the value in some unit,
+/// possibly with a fraction, and need not convert it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TimeSpan(Duration);
 
 impl TimeSpan {
-    /// So many milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn from_millis(ms: u64) -> Self {
         Self(Duration::from_millis(ms))
     }
 
-    /// So many seconds.
+    /// Creates a duration from seconds.
     pub const fn from_secs(s: u64) -> Self {
         Self(Duration::from_secs(s))
     }
 
-    /// As the standard library has it.
+    /// Converts to the type of the standard library.
     pub const fn as_duration(self) -> Duration {
         self.0
     }
--- a/crates/settings/src/timing.rs
+++ b/crates/settings/src/timing.rs
@@ -1,4 +1,4 @@
-//! How often processes speak and how long they wait.
+//! Heartbeats, timeouts and grace periods.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,22 +6,21 @@
 use crate::Problems;
 use crate::Validate;
 
-/// How often processes speak to each other and how long they wait.
+/// Heartbeats, timeouts and grace periods of the connections between processes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TimingSettings {
-    /// How often each side of a connection says its status.
+    /// Interval at which each side of a connection sends its status.
     pub heartbeat_ms: u64,
-    /// After how long a silent peer counts as gone.
+    /// Silence after which a peer counts as disconnected.
     pub peer_timeout_ms: u64,
-    /// The longest pause between two tries at a connection.
+    /// Maximum delay between two attempts to connect.
     pub reconnect_max_ms: u64,
-    /// How long an attempt whose connection is cut is kept going for a resume.
+    /// Time that an attempt continues for a resume after its connection was lost.
     pub resume_window_ms: u64,
-    /// How long a stopping process goes on accepting while the balancer still
-    /// sends to it.
+    /// Time that a stopping process continues to accept requests, as the load balancer still sends them.
     pub stop_lag_ms: u64,
-    /// How long a stopping process waits for work in progress.
+    /// Time that a stopping process waits for requests in progress.
     pub stop_grace_ms: u64,
 }
 
@@ -39,15 +38,15 @@
 }
 
 impl Validate for TimingSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.range("heartbeat_ms", self.heartbeat_ms, 20..=60_000);
-        problems.range("peer_timeout_ms", self.peer_timeout_ms, 50..=120_000);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_range("heartbeat_ms", self.heartbeat_ms, 20..=60_000);
+        problems.check_range("peer_timeout_ms", self.peer_timeout_ms, 50..=120_000);
         if self.peer_timeout_ms < 2 * self.heartbeat_ms {
             problems.add("peer_timeout_ms", "must be at least twice heartbeat_ms");
         }
-        problems.range("reconnect_max_ms", self.reconnect_max_ms, 10..=60_000);
-        problems.range("resume_window_ms", self.resume_window_ms, 0..=600_000);
-        problems.range("stop_lag_ms", self.stop_lag_ms, 0..=120_000);
-        problems.range("stop_grace_ms", self.stop_grace_ms, 100..=3_600_000);
+        problems.check_range("reconnect_max_ms", self.reconnect_max_ms, 10..=60_000);
+        problems.check_range("resume_window_ms", self.resume_window_ms, 0..=600_000);
+        problems.check_range("stop_lag_ms", self.stop_lag_ms, 0..=120_000);
+        problems.check_range("stop_grace_ms", self.stop_grace_ms, 100..=3_600_000);
     }
 }
--- a/crates/settings/src/upstream.rs
+++ b/crates/settings/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What stands behind a sidecar.
+//! The upstream that a sidecar serves.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,31 +7,31 @@
 use crate::Problems;
 use crate::Validate;
 
-/// What kind of upstream stands behind a sidecar.
+/// Kind of the upstream that a sidecar serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UpstreamKind {
     /// A model engine with the chat-completions interface.
     Engine,
-    /// A plain service.
+    /// A service that isn't a model engine.
     Service,
 }
 
-/// The upstream behind a sidecar.
+/// The upstream that a sidecar serves.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamSettings {
-    /// What kind it is.
+    /// Kind of the upstream.
     pub kind: UpstreamKind,
-    /// Its address, `http://IP:PORT`.
+    /// URL of the upstream, `http://IP:PORT`.
     pub url: String,
-    /// The model versions or the service it serves.
+    /// The model versions or services that it serves.
     pub serves: Vec<Target>,
 }
 
 impl Validate for UpstreamSettings {
-    fn check(&self, problems: &mut Problems) {
-        problems.http_url("url", &self.url);
+    fn validate(&self, problems: &mut Problems) {
+        problems.check_http_url("url", &self.url);
         if self.serves.is_empty() {
             problems.add("serves", "must name at least one model@version or service:name");
         }
--- a/tests/all/settings.rs
+++ b/tests/all/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: the examples are right, and what is wrong is said with its place.
+//! Settings files: the examples are valid, and each problem is reported with its location.
 
 use std::path::Path;
 
@@ -19,11 +19,11 @@
   "session_keys": ["sixteen-and-more"]
 }"#;
 
-/// An entry's settings with one text in place of another.
+/// Checks that an entry's settings are rejected with the expected error once `from` is replaced by `to`.
 fn refused(from: &str, to: &str, expected: &Expect) {
-    assert!(ENTRY.contains(from), "the text to replace is there");
+    assert!(ENTRY.contains(from), "the replaced text must occur in the settings");
     let error = parse::<EntrySettings>("entry.jsonc", &ENTRY.replace(from, to));
-    expected.assert_eq(&error.expect_err("it is refused").to_string());
+    expected.assert_eq(&error.expect_err("the settings are rejected").to_string());
 }
 
 macro_rules! refuses {
@@ -36,20 +36,20 @@
 }
 
 #[test]
-fn the_base_of_these_tests_is_right() {
-    parse::<EntrySettings>("entry.jsonc", ENTRY).expect("it is taken");
+fn base_settings_are_valid() {
+    parse::<EntrySettings>("entry.jsonc", ENTRY).expect("the settings are valid");
 }
 
-fn example_is_right<T: serde::de::DeserializeOwned + Validate>(name: &str) {
+fn example_is_valid<T: serde::de::DeserializeOwned + Validate>(name: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples").join(name);
-    load::<T>(&path).map(|_| ()).expect("the example is right");
+    load::<T>(&path).map(|_| ()).expect("the example is valid");
 }
 
 #[test]
-fn examples_are_right() {
-    example_is_right::<EntrySettings>("entry.jsonc");
-    example_is_right::<SidecarSettings>("sidecar-engine.jsonc");
-    example_is_right::<SidecarSettings>("sidecar-service.jsonc");
+fn examples_are_valid() {
+    example_is_valid::<EntrySettings>("entry.jsonc");
+    example_is_valid::<SidecarSettings>("sidecar-engine.jsonc");
+    example_is_valid::<SidecarSettings>("sidecar-service.jsonc");
 }
 
 refuses!(
@@ -69,7 +69,7 @@
     ]
 );
 refuses!(
-    text_for_a_number,
+    string_for_a_number,
     "\"platform\": { \"url\": \"http://127.0.0.1:3\" }",
     "\"platform\": { \"url\": \"http://127.0.0.1:3\", \"table_poll_ms\": \"2s\" }",
     expect![[
@@ -113,7 +113,7 @@
     ]]
 );
 refuses!(
-    doubled_key,
+    duplicate_key,
     "\"session_keys\"",
     "\"callers_addr\": \"127.0.0.1:9\", \"session_keys\"",
     expect!["entry.jsonc: line 6: key 'callers_addr': the key stands twice"]
@@ -125,7 +125,7 @@
     expect!["entry.jsonc: line 6, column 37: not JSON with comments: Unexpected token in object"]
 );
 refuses!(
-    all_at_once,
+    all_problems_at_once,
     "\"callers_addr\": \"127.0.0.1:1\"",
     "\"callers_addr\": 5, \"colour\": \"red\"",
     expect![[r#"
@@ -134,32 +134,33 @@
 );
 
 #[test]
-fn a_missing_file_is_named() {
-    let error = load::<EntrySettings>(Path::new("no/such/file.jsonc")).expect_err("not there");
+fn missing_file_is_reported_by_path() {
+    let error = load::<EntrySettings>(Path::new("no/such/file.jsonc"))
+        .expect_err("the file does not exist");
     assert!(error.to_string().contains("no/such/file.jsonc"), "{error}");
 }
 
 const GATEWAY: &str = include_str!("../../examples/gateway.jsonc");
 
-/// A gateway's settings with one text in place of another.
+/// Checks that a gateway's example settings are rejected with the expected error once `from` is replaced by `to`.
 macro_rules! gateway_refuses {
     ($name:ident, $from:expr, $to:expr, $expected:expr) => {
         #[test]
         fn $name() {
-            assert!(GATEWAY.contains($from), "the text to replace is there");
+            assert!(GATEWAY.contains($from), "the replaced text must occur in the settings");
             let error = parse::<GatewaySettings>("gateway.jsonc", &GATEWAY.replace($from, $to));
-            $expected.assert_eq(&error.expect_err("it is refused").to_string());
+            $expected.assert_eq(&error.expect_err("the settings are rejected").to_string());
         }
     };
 }
 
 #[test]
-fn the_gateways_example_is_right() {
-    parse::<GatewaySettings>("gateway.jsonc", GATEWAY).expect("it is taken");
+fn gateway_example_is_valid() {
+    parse::<GatewaySettings>("gateway.jsonc", GATEWAY).expect("the settings are valid");
 }
 
 gateway_refuses!(
-    a_gateways_wrong_percent,
+    gateway_percentage_out_of_range,
     "[50]",
     "[50, 101]",
     expect![
@@ -167,7 +168,7 @@
     ]
 );
 gateway_refuses!(
-    a_gateways_grace_without_a_unit,
+    gateway_grace_without_unit,
     "\"grace\": \"8 s\"",
     "\"grace\": \"8\"",
     expect![[
@@ -175,7 +176,7 @@
     ]]
 );
 gateway_refuses!(
-    a_gateways_negative_overage,
+    gateway_overage_negative,
     "\"overage\": 1.5",
     "\"overage\": -1.5",
     expect![[
@@ -183,7 +184,7 @@
     ]]
 );
 gateway_refuses!(
-    a_gateways_exposure_of_more_than_all,
+    gateway_exposure_above_one,
     "\"max_exposure\": 0.15",
     "\"max_exposure\": 15",
     expect![[
@@ -191,7 +192,7 @@
     ]]
 );
 gateway_refuses!(
-    a_gateways_path_without_a_slash,
+    gateway_path_without_slash,
     "\"/ready\"",
     "\"ready\"",
     expect![[
