--- a/crates/entry/src/mesh/link.rs
+++ b/crates/entry/src/mesh/link.rs
@@ -152,8 +152,13 @@
             return false;
         };
         let max_frame_bytes = shared.settings.max_frame_bytes;
-        let identified =
-            handshake(stream, Side::Opener, &shared.identity, &shared.fleet_key, max_frame_bytes);
+        let identified = handshake(
+            stream,
+            Side::Initiator,
+            &shared.identity,
+            &shared.fleet_key,
+            max_frame_bytes,
+        );
         let (framed, identity) = match identified.await {
             Ok(done) => done,
             Err(error) => {
