--- a/tests/all/gateway/daemon.rs
+++ b/tests/all/gateway/daemon.rs
@@ -63,7 +63,7 @@
     let mut running = Running::start().await;
     assert_eq!(running.send_request().await, Some(200));
     running.process.terminate();
-    let mut exited = || running.process.has_ended_well();
+    let mut exited = || running.process.has_exited_cleanly();
     wait_until("the process has exited successfully", || {
         std::future::ready(exited() == Some(true))
     })
--- a/tests/all/harness/process.rs
+++ b/tests/all/harness/process.rs
@@ -103,7 +103,7 @@
     }
 
     /// Whether it has ended, and well.
-    pub(crate) fn has_ended_well(&mut self) -> Option<bool> {
+    pub(crate) fn has_exited_cleanly(&mut self) -> Option<bool> {
         let status = self.child.try_wait().expect("the daemon can be waited for");
         status.map(|status| status.success())
     }
--- a/tests/all/promises/planned_stops.rs
+++ b/tests/all/promises/planned_stops.rs
@@ -50,7 +50,7 @@
     fleet.platform.set_faults(Faults::default());
     let entry = std::sync::Mutex::new(&mut fleet.entries[0]);
     wait_until("the entry has ended", || async {
-        entry.lock().expect("nobody panicked").has_ended_well() == Some(true)
+        entry.lock().expect("nobody panicked").has_exited_cleanly() == Some(true)
     })
     .await;
     wait_until("all are billed", || async { fleet.ledger_records().len() >= 6 }).await;
@@ -97,7 +97,7 @@
     );
     let sidecar = std::sync::Mutex::new(&mut fleet.hosts[0].sidecar);
     wait_until("the sidecar has ended", || async {
-        sidecar.lock().expect("nobody panicked").has_ended_well() == Some(true)
+        sidecar.lock().expect("nobody panicked").has_exited_cleanly() == Some(true)
     })
     .await;
     let answer = send(fleet.caller(0).request(Method::GET, "/v1/models")).await.expect("a list");
--- a/tests/all/soak/supervisor.rs
+++ b/tests/all/soak/supervisor.rs
@@ -110,7 +110,7 @@
             self.process.wake();
             self.wakes_at = None;
         }
-        match (self.process.has_ended_well(), self.terminated_at) {
+        match (self.process.has_exited_cleanly(), self.terminated_at) {
             (None, None) => {}
             (None, Some(at)) if now < at + GRACE + GRACE_SLACK => {}
             (None, Some(at)) => self.grace_is_over(at, now),
