--- a/tests/all/harness/caller.rs
+++ b/tests/all/harness/caller.rs
@@ -1,4 +1,4 @@
-//! A caller, as simple as one can be.
+//! An HTTP client that sends requests to one entry and collects the complete response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 
 use super::settings::WORKSPACE_KEY;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a caller got.
+/// The status, headers and body that a caller received.
 #[derive(Debug, Clone)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
@@ -26,36 +26,36 @@
 }
 
 impl Answer {
-    /// The text of a whole chat answer.
+    /// The text of a non-streaming chat response.
     pub(crate) fn text(&self) -> String {
         let body: Value = serde_json::from_str(&self.body).unwrap_or_default();
         body["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// The code of a problem.
+    /// The error code: the title of a problem document.
     pub(crate) fn code(&self) -> String {
         let body: Value = serde_json::from_str(&self.body).unwrap_or_default();
         body["title"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// The data of a stream's events.
+    /// The data fields of the server-sent events in the body.
     pub(crate) fn events(&self) -> Vec<String> {
         let data = self.body.lines().filter_map(|line| line.strip_prefix("data:"));
         data.map(|data| data.trim_start().to_owned()).collect()
     }
 
-    /// The text of a streamed chat answer.
+    /// The text of a streamed chat response.
     pub(crate) fn streamed_text(&self) -> String {
         let events = self.events();
-        let parts = events.iter().filter_map(|event| {
+        let chunks = events.iter().filter_map(|event| {
             let event: Value = serde_json::from_str(event).ok()?;
             Some(event["choices"][0]["delta"]["content"].as_str()?.to_owned())
         });
-        parts.collect()
+        chunks.collect()
     }
 }
 
-/// A caller of one entry.
+/// An HTTP client for one entry, which authenticates with a workspace key.
 #[derive(Debug, Clone)]
 pub(crate) struct Caller {
     http: reqwest::Client,
@@ -65,9 +65,9 @@
 
 impl Caller {
     pub(crate) fn new(entry: SocketAddr) -> Self {
-        let http = reqwest::Client::builder().no_proxy().timeout(PATIENCE).build();
+        let http = reqwest::Client::builder().no_proxy().timeout(REQUEST_TIMEOUT).build();
         Self {
-            http: http.expect("a client can be made"),
+            http: http.expect("the HTTP client can be built"),
             base_url: format!("http://{entry}"),
             key: WORKSPACE_KEY.to_owned(),
         }
@@ -78,12 +78,12 @@
         self
     }
 
-    /// A request that can still be given headers.
+    /// An authenticated request, to which the test may add headers and a body.
     pub(crate) fn request(&self, method: Method, path: &str) -> RequestBuilder {
         self.http.request(method, format!("{}{path}", self.base_url)).bearer_auth(&self.key)
     }
 
-    /// A chat request for `tokens` tokens.
+    /// A chat request for at most `tokens` completion tokens.
     pub(crate) fn chat(
         &self,
         model: &str,
@@ -99,7 +99,7 @@
         }))
     }
 
-    /// A call of a plain service.
+    /// A call to a non-engine service, with an idempotency key unless `key` is empty.
     pub(crate) fn call(&self, service: &str, path: &str, key: &str, body: &str) -> RequestBuilder {
         let path = format!("/v1/services/{service}/{path}");
         let call = self.request(Method::POST, &path).body(body.to_owned());
@@ -107,7 +107,8 @@
     }
 }
 
-/// Sends a request and reads what comes, also when it breaks off.
+/// Sends a request and reads the body to its end, or up to the point where the connection broke.
+/// None when no response headers arrived.
 pub(crate) async fn send(request: RequestBuilder) -> Option<Answer> {
     let response = request.send().await.ok()?;
     let header = |name: &str| {
@@ -123,8 +124,8 @@
         retry_after: header("Retry-After"),
         body: String::new(),
     };
-    let mut parts = response.bytes_stream();
-    while let Some(Ok(part)) = parts.next().await {
+    let mut chunks = response.bytes_stream();
+    while let Some(Ok(part)) = chunks.next().await {
         answer.body.push_str(&String::from_utf8_lossy(&part));
     }
     Some(answer)
--- a/tests/all/harness/fake_entry.rs
+++ b/tests/all/harness/fake_entry.rs
@@ -1,4 +1,4 @@
-//! A peer that speaks the processes' own protocol to a sidecar, for contract tests.
+//! A fake entry that speaks the wire protocol to a sidecar, for contract tests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,9 +24,9 @@
 use super::settings::FLEET_KEY;
 
 const MAX_FRAME_BYTES: usize = 8 << 20;
-const PATIENCE: Duration = Duration::from_secs(10);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A peer that speaks the processes' own protocol to a sidecar.
+/// A fake entry with a connection to one sidecar.
 #[derive(Debug)]
 pub(crate) struct FakeEntry {
     pub(crate) sender: FrameSender,
@@ -34,12 +34,12 @@
 }
 
 impl FakeEntry {
-    /// Connects with the right key.
+    /// Connects with the fleet key that the sidecar expects.
     pub(crate) async fn connect(addr: SocketAddr) -> Self {
-        Self::connect_with(addr, FLEET_KEY).await.expect("the sidecar takes the fleet key")
+        Self::connect_with(addr, FLEET_KEY).await.expect("the sidecar accepts the fleet key")
     }
 
-    /// Connects with any key.
+    /// Connects with the given fleet key.
     pub(crate) async fn connect_with(addr: SocketAddr, key: &str) -> Result<Self, HandshakeError> {
         let stream = TcpStream::connect(addr).await?;
         let me = Identity {
@@ -53,13 +53,13 @@
         Ok(Self { sender, reader })
     }
 
-    /// Sends a message.
+    /// Sends a message; panics when the connection is closed.
     pub(crate) async fn send(&self, body: Body) {
         self.sender.send(body).await.expect("the connection is up");
     }
 
-    /// Waits for a message that fits; others are passed over. None when the connection
-    /// ends first.
+    /// Waits for a message that `fits` accepts and skips the others. None when the connection
+    /// closes first.
     pub(crate) async fn receive<T>(&mut self, fits: impl Fn(Body) -> Option<T>) -> Option<T> {
         let wait = async {
             loop {
@@ -69,16 +69,18 @@
                 }
             }
         };
-        tokio::time::timeout(PATIENCE, wait).await.expect("the message or the end comes in time")
+        tokio::time::timeout(RECEIVE_TIMEOUT, wait)
+            .await
+            .expect("the message or the end of the connection arrives before the timeout")
     }
 }
 
-/// A new attempt.
+/// The first attempt of a new request.
 pub(crate) fn new_attempt() -> AttemptId {
     AttemptId { request: RequestId::generate(), number: AttemptNumber(1) }
 }
 
-/// An order to run a chat request.
+/// A dispatch of a chat request for at most `tokens` completion tokens.
 pub(crate) fn chat_dispatch(id: AttemptId, target: &str, tokens: u64) -> Dispatch {
     let body = format!(
         r#"{{"model":"{target}","max_tokens":{tokens},"messages":[{{"role":"user","content":"x"}}]}}"#
--- a/tests/all/harness/fleet.rs
+++ b/tests/all/harness/fleet.rs
@@ -1,4 +1,5 @@
-//! A small fleet of real processes over stand-ins.
+//! A small fleet of real entry and sidecar processes. Stand-ins replace the platform, the engines
+//! and the services.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -32,19 +33,19 @@
 const ZONES: [&str; 3] = ["zone-1", "zone-2", "zone-3"];
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a fleet is made of.
+/// The composition and the settings of a fleet.
 #[derive(Debug, Clone)]
 pub(crate) struct Plan {
     pub(crate) entries: usize,
-    /// What each engine serves.
+    /// The target that each engine serves.
     pub(crate) engines: Vec<&'static str>,
     pub(crate) services: usize,
     pub(crate) switches: EngineSwitches,
-    /// Cells of the table besides those that allow everything.
+    /// Cells of the table in addition to those that allow every target.
     pub(crate) cells: Vec<(&'static str, &'static str)>,
-    /// Changes of the entries' settings, by section and key.
+    /// Overrides of the entries' settings: section, key, value.
     pub(crate) entry_settings: Vec<(&'static str, &'static str, Value)>,
-    /// Changes of the sidecars' settings.
+    /// Overrides of the sidecars' settings: section, key, value.
     pub(crate) sidecar_settings: Vec<(&'static str, &'static str, Value)>,
 }
 
@@ -62,29 +63,30 @@
     }
 }
 
-/// One upstream host: stand-in, sidecar, and the proxy before it.
+/// An upstream host: its sidecar, and the fault proxy through which entries connect to it.
 #[derive(Debug)]
 pub(crate) struct UpstreamHost {
     pub(crate) sidecar: Process,
     pub(crate) proxy: FaultProxy,
+    /// The host's record in the platform's host list.
     pub(crate) listed: HostEntry,
     settings: Value,
 }
 
-/// A small fleet of real processes over stand-ins.
+/// Running processes and stand-ins.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     pub(crate) platform: PlatformStandin,
     pub(crate) engines: Vec<EngineStandin>,
     pub(crate) services: Vec<ServiceStandin>,
-    /// The hosts of the engines, then those of the services.
+    /// The hosts of the engines, followed by those of the services.
     pub(crate) hosts: Vec<UpstreamHost>,
     pub(crate) entries: Vec<Process>,
     entry_settings: Vec<Value>,
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until the table is in force everywhere.
+    /// Starts a fleet and waits until the first revision of the table is active everywhere.
     pub(crate) async fn start(plan: Plan) -> Self {
         let platform = PlatformStandin::start(loopback()).await.expect("the platform starts");
         write_table(&platform, &plan).await;
@@ -116,7 +118,7 @@
             fleet.entry_settings.push(settings);
             fleet.entries.push(start_entry(&fleet.entry_settings[number]));
         }
-        fleet.wait_in_force(1).await;
+        fleet.wait_until_active(1).await;
         fleet
     }
 
@@ -138,17 +140,17 @@
             state: HostState::Live,
             serves: vec![target.parse().expect("a valid target")],
         };
-        // A restarted sidecar must be found at the same address.
+        // The proxy connects to this address, so a restarted sidecar must reuse it.
         settings["entries_addr"] = sidecar.addr("entries_addr").to_string().into();
         self.hosts.push(UpstreamHost { sidecar, proxy, listed, settings });
     }
 
-    /// Writes the hosts into the platform's list.
+    /// Publishes the upstream hosts in the platform's host list.
     pub(crate) fn list_hosts(&self) {
         self.platform.set_hosts(self.hosts.iter().map(|host| host.listed.clone()).collect());
     }
 
-    /// Writes the hosts into the list, those of the entries too.
+    /// Publishes the hosts of upstreams and of entries in the platform's host list.
     pub(crate) fn list_hosts_and_entries(&self) {
         let entry = |settings: &Value| HostEntry {
             host: settings["host"]["id"].as_str().and_then(|id| id.parse().ok()).expect("a name"),
@@ -162,30 +164,31 @@
         self.platform.set_hosts(hosts.chain(self.entry_settings.iter().map(entry)).collect());
     }
 
-    /// Starts a sidecar again, at the address it had.
+    /// Starts a new process of a sidecar on the same address.
     pub(crate) fn restart_sidecar(&mut self, number: usize) {
         let settings = self.hosts[number].settings.clone();
         self.hosts[number].sidecar = start_sidecar(&settings);
     }
 
-    /// Starts an entry again, at new addresses.
+    /// Starts a new process of an entry on new addresses.
     pub(crate) fn restart_entry(&mut self, number: usize) {
         self.entries[number] = start_entry(&self.entry_settings[number]);
     }
 
-    /// Changes a setting of an entry for its next start.
+    /// Changes a setting of an entry, which applies from its next start.
     pub(crate) fn set_entry(&mut self, number: usize, section: &str, key: &str, value: Value) {
         self.entry_settings[number][section][key] = value;
     }
 
-    /// A caller of an entry.
+    /// A client of an entry.
     pub(crate) fn caller(&self, entry: usize) -> Caller {
         Caller::new(self.entries[entry].addr("callers_addr"))
     }
 
-    /// An operators' endpoint's reply.
+    /// The JSON that an operators' endpoint returns; null when the process cannot be reached.
     pub(crate) async fn operators(&self, addr: SocketAddr, path: &str) -> Value {
-        let http = reqwest::Client::builder().no_proxy().build().expect("a client can be made");
+        let http =
+            reqwest::Client::builder().no_proxy().build().expect("the HTTP client can be built");
         let request = http.get(format!("http://{addr}{path}")).bearer_auth(OPERATORS_KEY);
         match request.send().await {
             Ok(response) => response.json().await.unwrap_or_default(),
@@ -193,19 +196,19 @@
         }
     }
 
-    /// The state of an entry.
+    /// The state dump of an entry.
     pub(crate) async fn entry_state(&self, entry: usize) -> Value {
         self.operators(self.entries[entry].addr("operators_addr"), "/v1/state").await
     }
 
-    /// The state of a sidecar.
+    /// The state dump of a sidecar.
     pub(crate) async fn sidecar_state(&self, host: usize) -> Value {
         self.operators(self.hosts[host].sidecar.addr("operators_addr"), "/v1/state").await
     }
 
-    /// Waits until every process has a revision in force and every connection is up.
-    pub(crate) async fn wait_in_force(&self, revision: u64) {
-        wait_until("the table is in force everywhere", || async {
+    /// Waits until the revision is active in every process and every connection is up.
+    pub(crate) async fn wait_until_active(&self, revision: u64) {
+        wait_until("the table is active everywhere", || async {
             for entry in 0..self.entries.len() {
                 let state = self.entry_state(entry).await;
                 let links = state["links"].as_array().cloned().unwrap_or_default();
@@ -224,10 +227,12 @@
         .await;
     }
 
-    /// Makes an edit at an entry; the HTTP status and the reply.
+    /// Submits an edit to an entry. Returns the HTTP status and the body, or status 0 when the
+    /// entry cannot be reached.
     pub(crate) async fn edit(&self, entry: usize, edit: &Edit) -> (u16, Value) {
         let addr = self.entries[entry].addr("operators_addr");
-        let http = reqwest::Client::builder().no_proxy().build().expect("a client can be made");
+        let http =
+            reqwest::Client::builder().no_proxy().build().expect("the HTTP client can be built");
         let request = http.patch(format!("http://{addr}/v1/table")).bearer_auth(OPERATORS_KEY);
         match request.json(edit).send().await {
             Ok(response) => {
@@ -238,7 +243,7 @@
         }
     }
 
-    /// All records in the ledger, doubled ones included.
+    /// All records in the ledger, including duplicates.
     pub(crate) fn ledger_records(&self) -> Vec<BillRecord> {
         let batches = self.platform.records("ledger/");
         let records = batches.into_iter().flat_map(|batch| {
@@ -250,7 +255,7 @@
     }
 }
 
-/// An edit of cells: address, expected value, new value.
+/// An edit with a new ID. Each cell is its address, the expected value and the new value.
 pub(crate) fn edit_of(cells: &[(&str, &str, &str)]) -> Edit {
     let cells = cells.iter().map(|(address, expect, value)| CellChange {
         address: address.parse().expect("a valid address"),
@@ -277,7 +282,7 @@
         cells.iter().map(|(address, value)| (address.as_str(), "", value.as_str())).collect();
     let client = PlatformClient::new(&platform.url(), CALL_TIMEOUT);
     let committed = TableStore::new(client).commit(&edit_of(&cells)).await;
-    committed.expect("the first edit commits");
+    committed.expect("the initial edit is committed");
 }
 
 fn change(settings: &mut Value, changes: &[(&'static str, &'static str, Value)]) {
--- a/tests/all/harness/mod.rs
+++ b/tests/all/harness/mod.rs
@@ -1,4 +1,6 @@
-//! What the tests are built with.
+//! Test harness: starts real processes and stand-ins, sends requests and waits on conditions.
+//!
+//! Begin with `fleet`. `process` runs one daemon, `caller` and `fake_entry` are its clients.
 
 mod caller;
 mod fake_entry;
--- a/tests/all/harness/process.rs
+++ b/tests/all/harness/process.rs
@@ -1,4 +1,4 @@
-//! A daemon under test.
+//! Starts a daemon under test, reads its log and sends it signals.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -17,23 +17,25 @@
 use nix::unistd::Pid;
 use serde_json::Value;
 
-const START_PATIENCE: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A daemon under test. It is killed when dropped.
 #[derive(Debug)]
 pub(crate) struct Process {
     child: Child,
+    /// The addresses that the daemon logged when it became ready.
     serves: Value,
     log: Arc<Mutex<Vec<String>>>,
     settings_file: PathBuf,
 }
 
 impl Process {
-    /// Starts a daemon and waits until its log says that it serves.
+    /// Starts a daemon and waits for the log line that announces its addresses, which ends in
+    /// " serves".
     pub(crate) fn start(program: &str, settings_json: &str) -> Self {
         let name = format!("stallhoist-test-{}.json", uuid::Uuid::new_v4().simple());
         let settings_file = std::env::temp_dir().join(name);
-        std::fs::write(&settings_file, settings_json).expect("settings can be written");
+        std::fs::write(&settings_file, settings_json).expect("the settings file can be written");
         let mut child = Command::new(program)
             .arg("--settings")
             .arg(&settings_file)
@@ -44,72 +46,72 @@
             .expect("the daemon starts");
         let lines = BufReader::new(child.stdout.take().expect("stdout is piped")).lines();
         let log = Arc::new(Mutex::new(Vec::new()));
-        let kept = Arc::clone(&log);
-        let (tell, told) = mpsc::channel();
+        let log_lines = Arc::clone(&log);
+        let (ready_sender, ready_receiver) = mpsc::channel();
         std::thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
                 if let Some(serves) = serves(&line) {
-                    let _ = tell.send(serves);
+                    let _ = ready_sender.send(serves);
                 }
-                kept.lock().expect("no reader panicked").push(line);
+                log_lines.lock().expect("no reader panicked").push(line);
             }
         });
-        let serves = told.recv_timeout(START_PATIENCE).unwrap_or_else(|_| {
-            panic!("{program} does not serve: {:?}", log.lock().expect("no reader panicked"))
+        let serves = ready_receiver.recv_timeout(START_TIMEOUT).unwrap_or_else(|_| {
+            panic!("{program} did not become ready: {:?}", log.lock().expect("no reader panicked"))
         });
         Self { child, serves, log, settings_file }
     }
 
-    /// An address that the daemon said it serves on.
+    /// The address that the daemon logged under a settings key.
     pub(crate) fn addr(&self, key: &str) -> SocketAddr {
         let text = self.serves[key].as_str().unwrap_or_default();
         text.parse().unwrap_or_else(|_| panic!("no address {key} in {}", self.serves))
     }
 
-    /// The log so far.
+    /// All lines logged up to now.
     pub(crate) fn log(&self) -> Vec<String> {
         self.log.lock().expect("no reader panicked").clone()
     }
 
-    /// Its number, by which the kernel counts what it uses.
+    /// The process ID, under which the kernel accounts for its resources.
     pub(crate) fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Kills it as a crash would.
+    /// Kills the process with SIGKILL, as a crash would end it, and waits for its exit.
     pub(crate) fn kill(&mut self) {
         self.child.kill().expect("the daemon can be killed");
         self.child.wait().expect("the daemon can be waited for");
     }
 
-    /// Stops it where it is; it does not notice.
+    /// Suspends the process with SIGSTOP, which it cannot detect.
     pub(crate) fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets it go on.
+    /// Resumes a suspended process.
     pub(crate) fn wake(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Asks it to stop.
+    /// Requests a graceful stop.
     pub(crate) fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Tells it that its settings file has changed.
+    /// Sends SIGHUP, which reloads the settings file.
     pub(crate) fn hang_up(&self) {
         self.signal(Signal::SIGHUP);
     }
 
-    /// Whether it has ended, and well.
+    /// None while the process runs, then whether it exited with success.
     pub(crate) fn has_exited_cleanly(&mut self) -> Option<bool> {
         let status = self.child.try_wait().expect("the daemon can be waited for");
         status.map(|status| status.success())
     }
 
     fn signal(&self, signal: Signal) {
-        let id = i32::try_from(self.id()).expect("process numbers are small");
+        let id = i32::try_from(self.id()).expect("a process ID fits in 32 bits");
         kill(Pid::from_raw(id), signal).expect("the daemon can be signalled");
     }
 }
--- a/tests/all/harness/settings.rs
+++ b/tests/all/harness/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemons under test: everything happens faster than in use.
+//! Settings of the daemons under test, with shorter intervals than in production.
 
 use serde_json::Value;
 use serde_json::json;
@@ -7,7 +7,7 @@
 pub(crate) const OPERATORS_KEY: &str = "operators-key-of-the-tests";
 pub(crate) const WORKSPACE_KEY: &str = "workspace-key-of-the-tests";
 
-/// The operators' key of every process under test.
+/// The operators' key that every process under test accepts.
 pub(crate) fn operators_key() -> &'static str {
     OPERATORS_KEY
 }
@@ -31,7 +31,7 @@
     })
 }
 
-/// An entry's settings.
+/// Settings of an entry that listens on free ports of the loopback interface.
 pub(crate) fn entry(id: &str, zone: &str, platform_url: &str) -> Value {
     json!({
         "host": host(id, zone),
@@ -44,7 +44,7 @@
     })
 }
 
-/// A sidecar's settings.
+/// Settings of a sidecar that listens on free ports of the loopback interface.
 pub(crate) fn sidecar(id: &str, zone: &str, platform_url: &str, upstream: &Value) -> Value {
     json!({
         "host": host(id, zone),
--- a/tests/all/promises/at_most_once.rs
+++ b/tests/all/promises/at_most_once.rs
@@ -132,7 +132,7 @@
     let answer = send(fleet.caller(0).call("ledger", "fund", "frozen", "x")).await;
     assert_ne!(answer.expect("an answer").outcome, "completed");
     fleet.hosts[0].sidecar.wake();
-    fleet.wait_in_force(1).await;
+    fleet.wait_until_active(1).await;
     let outcome = insist(vec![fleet.caller(1)], "frozen".to_owned()).await;
     assert_ne!(outcome, "gave up");
     assert_at_most_once(&fleet);
--- a/tests/all/promises/configuration.rs
+++ b/tests/all/promises/configuration.rs
@@ -33,7 +33,7 @@
     let (status, reply) = fleet.edit(0, &edit_of(&[("w/m@v1/weight", "1", "7")])).await;
     assert_eq!((status, reply["status"].as_str()), (200, Some("accepted")), "{reply}");
     let accepted = Instant::now();
-    fleet.wait_in_force(2).await;
+    fleet.wait_until_active(2).await;
     assert!(accepted.elapsed() < IN_FORCE_WITHIN);
     assert_eq!(weight(&fleet, 1).await, 7);
     let addr = fleet.entries[0].addr("operators_addr");
@@ -65,7 +65,7 @@
 case!(all_entries_restart_in_an_outage, async {
     let mut fleet = Fleet::start(two_entries()).await;
     assert_eq!(fleet.edit(0, &edit_of(&[("w/m@v1/weight", "1", "7")])).await.0, 200);
-    fleet.wait_in_force(2).await;
+    fleet.wait_until_active(2).await;
     fleet.platform.set_faults(outage());
     let seeds: Vec<_> = fleet.hosts.iter().map(|host| host.listed.address.clone()).collect();
     for entry in 0..2 {
@@ -75,7 +75,7 @@
     for entry in 0..2 {
         fleet.restart_entry(entry);
     }
-    fleet.wait_in_force(2).await;
+    fleet.wait_until_active(2).await;
     assert_eq!((weight(&fleet, 0).await, weight(&fleet, 1).await), (7, 7));
     let answer = crate::harness::send(fleet.caller(0).chat("m", "x", 2, false)).await;
     assert_eq!(answer.expect("an answer").outcome, "completed");
@@ -91,7 +91,7 @@
     assert!(missing.contains(&"host-0".into()), "the missing is named: {reply}");
     fleet.hosts[0].proxy.heal();
     let healed = Instant::now();
-    fleet.wait_in_force(2).await;
+    fleet.wait_until_active(2).await;
     assert!(healed.elapsed() < IN_FORCE_WITHIN);
 });
 
@@ -137,7 +137,7 @@
     let (a, b) =
         futures_util::future::join(fleet.edit(0, &weight_edit), fleet.edit(1, &ramp_edit)).await;
     assert_eq!((a.0, b.0), (200, 200), "{a:?} {b:?}");
-    fleet.wait_in_force(3).await;
+    fleet.wait_until_active(3).await;
     let table = fleet.operators(fleet.entries[0].addr("operators_addr"), "/v1/table").await;
     assert_eq!(table["rows"][0]["weight"], 7);
     assert_eq!(table["rows"][0]["ramp_percent"], 50);
@@ -151,6 +151,6 @@
         assert_eq!(fleet.edit(0, &edit_of(&[("w/m@v1/weight", before, after)])).await.0, 200);
     }
     fleet.entries[1].wake();
-    fleet.wait_in_force(4).await;
+    fleet.wait_until_active(4).await;
     assert_eq!((weight(&fleet, 0).await, weight(&fleet, 1).await), (4, 4));
 });
--- a/tests/all/promises/sessions.rs
+++ b/tests/all/promises/sessions.rs
@@ -34,10 +34,10 @@
         ("w/m@v2/weight", "1", "100"),
     ]);
     assert_eq!(fleet.edit(0, &roll_out).await.0, 200);
-    fleet.wait_in_force(2).await;
+    fleet.wait_until_active(2).await;
     fleet.entries[0].kill();
     fleet.restart_entry(0);
-    fleet.wait_in_force(2).await;
+    fleet.wait_until_active(2).await;
     for entry in [0, 1, 0, 1] {
         assert_eq!(go_on(&fleet.caller(entry), &session).await.target, "m@v1");
         let new = send(fleet.caller(entry).chat("m", "new", 2, false)).await.expect("an answer");
--- a/tests/all/promises/withdrawn.rs
+++ b/tests/all/promises/withdrawn.rs
@@ -15,7 +15,7 @@
     let withdraw = edit_of(&[("w/m@v1/state", "active", "withdrawn")]);
     let (status, reply) = fleet.edit(0, &withdraw).await;
     assert_eq!(status, 200, "{reply}");
-    fleet.wait_in_force(2).await;
+    fleet.wait_until_active(2).await;
     for entry in 0..2 {
         let answer =
             send(fleet.caller(entry).chat("m@v1", "x", 2, false)).await.expect("an answer");
@@ -60,7 +60,7 @@
     fleet.platform.set_faults(Faults { outage: true, ..Faults::default() });
     fleet.hosts[0].sidecar.kill();
     fleet.restart_sidecar(0);
-    fleet.wait_in_force(2).await;
+    fleet.wait_until_active(2).await;
     for entry in 0..2 {
         let answer =
             send(fleet.caller(entry).chat("m@v1", "x", 2, false)).await.expect("an answer");
