--- a/crates/coordination/src/table_store.rs
+++ b/crates/coordination/src/table_store.rs
@@ -37,15 +37,15 @@
 /// Why an edit was not accepted.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum CommitError {
-    /// the edit cannot be applied: {0}
+    /// the edit does not apply: {0}
     Edit(EditError),
-    /// the store did not confirm whether the edit was written: retry with the same edit id
+    /// the store did not say whether the edit was written: ask again with the same edit id
     Unsettled,
     /// the store cannot be reached; nothing was written
     Unavailable(#[source] StoreError),
-    /// malformed table record: {0}
+    /// a record of the table is not what this version writes: {0}
     Malformed(String),
-    /// too many concurrent edits; nothing was written
+    /// too many others edit at the same time; nothing was written
     Contended,
 }
 
--- a/crates/core/src/model_version.rs
+++ b/crates/core/src/model_version.rs
@@ -18,7 +18,7 @@
 pub enum ModelVersionError {
     /// '{0}' lacks the '@' between model and version, as in summary@v3
     NoSeparator(String),
-    /// the model or the version is not a valid name
+    /// a part of the model version is not a name
     Name(#[from] NameError),
 }
 
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -17,9 +17,9 @@
 /// Why a text is not a valid target.
 #[derive(Debug, Clone, PartialEq, Eq, Display, thiserror::Error)]
 pub enum TargetError {
-    /// the name after 'service:' is not valid
+    /// the name after 'service:' is not a name
     Service(#[from] NameError),
-    /// the target is neither 'service:NAME' nor a model version
+    /// neither 'service:NAME' nor a model version
     Version(#[from] ModelVersionError),
 }
 
--- a/crates/table/src/error.rs
+++ b/crates/table/src/error.rs
@@ -13,22 +13,22 @@
 pub enum CellError {
     /// there is no column '{0}'
     UnknownColumn(String),
-    /// invalid value '{value}': expected {expected}
+    /// '{value}' does not fit: {expected} is expected
     BadValue {
         /// The invalid value.
         value: String,
         /// A description of valid values.
         expected: &'static str,
     },
-    /// column '{0}' belongs to a whole workspace: write '*' for the target
+    /// column '{0}' belongs to a workspace as a whole: write '*' for the target
     WorkspaceColumn(String),
     /// column '{0}' belongs to a target: name a model version or a service
     TargetColumn(String),
-    /// a cell's address is WORKSPACE/TARGET/COLUMN, with '*' as the target for a column of a whole workspace
+    /// a cell is written WORKSPACE/TARGET/COLUMN, with '*' for a workspace's own columns
     BadAddress,
-    /// invalid workspace name
+    /// bad workspace name
     Workspace(#[from] NameError),
-    /// invalid target
+    /// bad target
     Target(#[from] TargetError),
 }
 
@@ -55,9 +55,9 @@
     Empty,
     /// cell {0}: {1}
     Cell(CellAddress, CellError),
-    /// some cells do not hold the values that the edit expects
+    /// cells hold other values than the edit expects to replace
     Conflict(Vec<CellConflict>),
-    /// the edit produces revision {expected} and does not follow the table's revision {found}
+    /// the edit was made for revision {expected}, this table is at {found}
     WrongRevision {
         /// The revision that the edit produces.
         expected: u64,
