--- a/crates/settings/src/gateway/rollouts.rs
+++ b/crates/settings/src/gateway/rollouts.rs
@@ -10,8 +10,8 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RolloutSettings {
-    /// Maximum share of a service's requests, from 0 to 1, that a version may receive during its rollout if it turns out
-    /// to be bad.
+    /// Maximum share of a service's requests, from 0 to 1, that a version may receive during its rollout if it turns
+    /// out to be bad.
     pub max_exposure: f64,
 }
 
--- a/crates/settings/src/gateway/step_up.rs
+++ b/crates/settings/src/gateway/step_up.rs
@@ -10,8 +10,8 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StepUpSettings {
-    /// A response is discarded if the model's confidence in it is below this: one threshold for each priority, the most
-    /// urgent one first; the last one applies to all further priorities.
+    /// A response is discarded if the model's confidence in it is below this: one threshold for each priority, the
+    /// most urgent one first; the last one applies to all further priorities.
     pub below_confidence_percent: Vec<u8>,
 }
 
--- a/crates/settings/src/gateway/store.rs
+++ b/crates/settings/src/gateway/store.rs
@@ -12,8 +12,8 @@
 pub struct StoreSettings {
     /// Address of the store, `IP:PORT`.
     pub addr: String,
-    /// Time that a follow call waits for changes. Shorter waits cost more calls; longer ones detect later that the store
-    /// is unavailable.
+    /// Time that a follow call waits for changes. Shorter waits cost more calls; longer ones detect later that the
+    /// store is unavailable.
     pub follow_wait_ms: u64,
     /// Timeout of all other calls.
     pub call_timeout_ms: u64,
--- a/crates/settings/src/gateway/upstream_calls.rs
+++ b/crates/settings/src/gateway/upstream_calls.rs
@@ -10,8 +10,8 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct UpstreamCallSettings {
-    /// Timeout for establishing a connection. A lost packet is retransmitted only after a second, so another upstream is
-    /// tried before that.
+    /// Timeout for establishing a connection. A lost packet is retransmitted only after a second, so another upstream
+    /// is tried before that.
     pub connect_timeout_ms: u64,
     /// Time that the operating system of an upstream's host may be silent before the connection counts as broken.
     pub silence_timeout_ms: u64,
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,8 +1,8 @@
 //! Parsing and validation of a settings file.
 //!
-//! serde stops at the first error and doesn't keep the parser's positions. Errors are therefore identified by path, and
-//! the path is located in the syntax tree. After each error the invalid value is removed and the rest is deserialized
-//! again, until no further error can be found.
+//! serde stops at the first error and doesn't keep the parser's positions. Errors are therefore identified by path,
+//! and the path is located in the syntax tree. After each error the invalid value is removed and the rest is
+//! deserialized again, until no further error can be found.
 
 use std::fs;
 use std::path::Path;
@@ -27,8 +27,8 @@
 /// Reads, parses and validates a settings file.
 ///
 /// # Errors
-/// Fails if the file can't be read or isn't JSON with comments, or with all its problems: unknown, duplicate or missing
-/// keys, values of the wrong type or out of range.
+/// Fails if the file can't be read or isn't JSON with comments, or with all its problems: unknown, duplicate or
+/// missing keys, values of the wrong type or out of range.
 pub fn load<T: DeserializeOwned + Validate>(path: &Path) -> Result<T, SettingsError> {
     let text = fs::read_to_string(path)
         .map_err(|cause| SettingsError::Unreadable { path: path.to_owned(), cause })?;
