--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames on a byte stream.
+//! Framing of messages on a byte stream.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -15,27 +15,27 @@
 use crate::messages::Frame;
 use crate::messages::frame::Body;
 
-/// Turns bodies into length-delimited frames and back, with a bound on their size.
+/// Encodes and decodes message bodies as length-delimited frames of bounded size.
 #[derive(Debug)]
 pub struct FrameCodec {
     lengths: LengthDelimitedCodec,
-    /// What has come of the frame that is being received.
-    begun_bytes: Arc<AtomicUsize>,
+    /// Number of bytes received of the incomplete frame; 0 if there is none.
+    partial_frame_bytes: Arc<AtomicUsize>,
 }
 
 impl FrameCodec {
-    /// A codec that refuses frames over `max_frame_bytes`.
+    /// Creates a codec that rejects frames larger than `max_frame_bytes`.
     pub fn new(max_frame_bytes: usize) -> Self {
         let lengths = LengthDelimitedCodec::builder().max_frame_length(max_frame_bytes).new_codec();
-        Self { lengths, begun_bytes: Arc::default() }
+        Self { lengths, partial_frame_bytes: Arc::default() }
     }
 
-    /// What has come of the frame that is being received, kept up to date.
-    pub(crate) fn begun_bytes(&self) -> Arc<AtomicUsize> {
-        Arc::clone(&self.begun_bytes)
+    /// Shared counter of the bytes received of the incomplete frame, updated as the codec decodes.
+    pub(crate) fn partial_frame_bytes(&self) -> Arc<AtomicUsize> {
+        Arc::clone(&self.partial_frame_bytes)
     }
 
-    /// Changes the bound, as the end of the handshake does.
+    /// Changes the maximum frame size, as after the handshake.
     pub fn set_max_frame_bytes(&mut self, max_frame_bytes: usize) {
         self.lengths.set_max_frame_length(max_frame_bytes);
     }
@@ -47,10 +47,10 @@
 
     fn decode(&mut self, source: &mut BytesMut) -> Result<Option<Body>, WireError> {
         let Some(bytes) = self.lengths.decode(source)? else {
-            self.begun_bytes.store(source.len(), Ordering::Relaxed);
+            self.partial_frame_bytes.store(source.len(), Ordering::Relaxed);
             return Ok(None);
         };
-        self.begun_bytes.store(0, Ordering::Relaxed);
+        self.partial_frame_bytes.store(0, Ordering::Relaxed);
         let frame = Frame::decode(bytes.freeze())?;
         frame.body.map(Some).ok_or(WireError::EmptyFrame)
     }
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -18,46 +18,47 @@
 use crate::WireError;
 use crate::messages::frame::Body;
 
-/// How many frames may wait for a slow peer before senders wait too.
-const MAX_WAITING_FRAMES: usize = 1_024;
+/// Maximum number of frames queued for a slow peer; beyond it senders wait.
+const MAX_QUEUED_FRAMES: usize = 1_024;
 
-/// The receiving half.
+/// The receiving half of a connection.
 #[derive(Debug)]
 pub struct FrameReader {
     stream: SplitStream<Framed<TcpStream, FrameCodec>>,
-    /// What has come of the message that is being received.
-    begun_bytes: Arc<AtomicUsize>,
+    /// Number of bytes received of the incomplete frame.
+    partial_frame_bytes: Arc<AtomicUsize>,
 }
 
 impl FrameReader {
-    /// The next message; an error once the connection is closed or garbled.
+    /// Receives the next message.
     ///
     /// # Errors
-    /// Any error ends the connection.
+    /// Fails if the connection is closed or broken, or a frame is malformed. Any error ends the connection.
     pub async fn next(&mut self) -> Result<Body, WireError> {
         self.stream.next().await.ok_or(WireError::Closed)?
     }
 
-    /// The next message, as long as the peer is not silent for longer than this. Bytes are a sign
-    /// of life, whole messages or not: judged by messages, a peer whose link takes longer than
-    /// that for a large one was taken for gone, connected again and sent it anew.
+    /// Receives the next message, unless the peer is silent for longer than `max_silence`. Received bytes show that
+    /// the peer is alive even if they don't complete a message. If only complete messages counted, a peer whose link
+    /// takes longer than `max_silence` for a large message would be disconnected, reconnect and send the message
+    /// again.
     ///
     /// # Errors
-    /// Any error ends the connection, and so does silence.
-    pub async fn next_within(&mut self, silence: Duration) -> Result<Body, WireError> {
+    /// Fails as [`FrameReader::next`] does, and if the peer is silent for too long. Any error ends the connection.
+    pub async fn next_within(&mut self, max_silence: Duration) -> Result<Body, WireError> {
         loop {
-            let before = self.begun_bytes.load(Ordering::Relaxed);
-            if let Ok(received) = tokio::time::timeout(silence, self.next()).await {
+            let before = self.partial_frame_bytes.load(Ordering::Relaxed);
+            if let Ok(received) = tokio::time::timeout(max_silence, self.next()).await {
                 return received;
             }
-            if self.begun_bytes.load(Ordering::Relaxed) == before {
+            if self.partial_frame_bytes.load(Ordering::Relaxed) == before {
                 return Err(WireError::Closed);
             }
         }
     }
 }
 
-/// The sending half, shared by all tasks that have something to say to the peer.
+/// The sending half of a connection, shared by all tasks that send to the peer.
 #[derive(Debug, Clone)]
 pub struct FrameSender {
     frames: mpsc::Sender<Body>,
@@ -66,10 +67,10 @@
 }
 
 impl FrameSender {
-    /// Queues a message, waiting while the peer is slow.
+    /// Queues a message; waits while the queue of a slow peer is full.
     ///
     /// # Errors
-    /// Fails once the connection is closed.
+    /// Fails if the connection is closed.
     pub async fn send(&self, body: Body) -> Result<(), WireError> {
         tokio::select! {
             sent = self.frames.send(body) => sent.map_err(|_| WireError::Closed),
@@ -77,23 +78,23 @@
         }
     }
 
-    /// Queues a message if there is room at once.
+    /// Queues a message without waiting.
     ///
     /// # Errors
-    /// Fails when the connection is closed or the peer is slow.
+    /// Fails if the connection is closed or the queue of a slow peer is full.
     pub fn try_send(&self, body: Body) -> Result<(), WireError> {
         self.frames.try_send(body).map_err(|_| WireError::Closed)
     }
 
-    /// Queues a message that must not be lost, or closes the connection: a peer that is
-    /// so slow connects again and learns what it missed.
+    /// Queues a message that must not be lost, or closes the connection if the queue is full: the slow peer
+    /// reconnects and receives the current state.
     pub fn send_or_close(&self, body: Body) {
         if self.frames.try_send(body).is_err() {
             self.close();
         }
     }
 
-    /// Bytes of messages written so far, without the length prefixes.
+    /// Number of bytes of control messages sent so far, without length prefixes, requests and responses.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes.load(Ordering::Relaxed)
     }
@@ -103,7 +104,7 @@
         self.frames.is_closed() || self.closing.is_cancelled()
     }
 
-    /// Closes the connection for all that hold a sender.
+    /// Closes the connection for all holders of a sender.
     pub fn close(&self) {
         self.closing.cancel();
     }
@@ -116,30 +117,30 @@
         }
     }
 
-    /// Whether both send on one connection.
+    /// Whether both senders belong to the same connection.
     pub fn is_same_connection(&self, other: &Self) -> bool {
         self.frames.same_channel(&other.frames)
     }
 }
 
-/// Splits a connection and starts the task that writes to it. The task ends when the
-/// last sender is dropped or the connection fails.
+/// Splits a connection into its halves and spawns the task that writes to it. The task ends when the last sender is
+/// dropped, the connection is closed or it fails.
 pub fn start_writer(framed: Framed<TcpStream, FrameCodec>) -> (FrameSender, FrameReader) {
-    let begun_bytes = framed.codec().begun_bytes();
+    let partial_frame_bytes = framed.codec().partial_frame_bytes();
     let (mut sink, stream) = framed.split();
-    let (frames, mut waiting) = mpsc::channel::<Body>(MAX_WAITING_FRAMES);
+    let (frames, mut queue) = mpsc::channel::<Body>(MAX_QUEUED_FRAMES);
     let sent_bytes = Arc::new(AtomicU64::new(0));
     let counter = Arc::clone(&sent_bytes);
     let closing = CancellationToken::new();
     let closed = closing.clone();
     tokio::spawn(async move {
         let write = async {
-            while let Some(body) = waiting.recv().await {
-                count(&counter, &body);
+            while let Some(body) = queue.recv().await {
+                count_control_bytes(&counter, &body);
                 sink.feed(body).await?;
-                // One flush for all that waits: fewer writes when the connection is busy.
-                while let Ok(body) = waiting.try_recv() {
-                    count(&counter, &body);
+                // One flush for all queued frames: fewer writes when the connection is busy.
+                while let Ok(body) = queue.try_recv() {
+                    count_control_bytes(&counter, &body);
                     sink.feed(body).await?;
                 }
                 sink.flush().await?;
@@ -151,11 +152,11 @@
             () = closed.cancelled() => {}
         }
     });
-    (FrameSender { frames, sent_bytes, closing }, FrameReader { stream, begun_bytes })
+    (FrameSender { frames, sent_bytes, closing }, FrameReader { stream, partial_frame_bytes })
 }
 
-fn count(counter: &AtomicU64, body: &Body) {
-    // What callers and upstreams say to each other is not control.
+fn count_control_bytes(counter: &AtomicU64, body: &Body) {
+    // Requests and responses of callers are payload, not control traffic.
     if matches!(body, Body::Dispatch(_) | Body::Chunk(_) | Body::ResponseHead(_)) {
         return;
     }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between messages and the types of the rest of the system.
+//! Conversion between messages and the types of the other crates.
 
 use stallhoist_core::AttemptId;
 use stallhoist_core::AttemptNumber;
@@ -11,15 +11,15 @@
 use crate::WireError;
 use crate::messages;
 
-/// An attempt as a message.
+/// Converts an attempt to a message.
 pub fn attempt_to_wire(id: AttemptId) -> Option<messages::Attempt> {
     Some(messages::Attempt { request: id.request.as_bytes().to_vec(), number: id.number.0 })
 }
 
-/// An attempt out of a message.
+/// Converts a message to an attempt.
 ///
 /// # Errors
-/// Fails when it is missing or malformed.
+/// Fails if the message is missing or the request's identifier is malformed.
 pub fn attempt_from_wire(attempt: Option<&messages::Attempt>) -> Result<AttemptId, WireError> {
     let attempt = attempt.ok_or(WireError::BadField("attempt"))?;
     Ok(AttemptId {
@@ -28,15 +28,15 @@
     })
 }
 
-/// A request's identity out of a message.
+/// Converts bytes to the identifier of a request.
 ///
 /// # Errors
-/// Fails when it is not sixteen bytes.
+/// Fails if there are not sixteen bytes.
 pub fn request_from_wire(bytes: &[u8]) -> Result<RequestId, WireError> {
     RequestId::from_slice(bytes).map_err(|_| WireError::BadField("request"))
 }
 
-/// A bill record as a message.
+/// Converts a bill record to a message.
 pub fn bill_to_wire(record: &BillRecord) -> messages::BillRecord {
     messages::BillRecord {
         request: record.request.as_bytes().to_vec(),
@@ -49,10 +49,10 @@
     }
 }
 
-/// A bill record out of a message.
+/// Converts a message to a bill record.
 ///
 /// # Errors
-/// Fails when a field is malformed.
+/// Fails if a field is malformed.
 pub fn bill_from_wire(record: &messages::BillRecord) -> Result<BillRecord, WireError> {
     Ok(BillRecord {
         request: request_from_wire(&record.request)?,
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,36 +1,36 @@
-//! What can go wrong on a connection.
+//! Errors on a connection.
 
 use std::io;
 
 use displaydoc::Display;
 
-/// What can go wrong with a frame. Each closes the connection it came on, and no other.
+/// Errors of sending or receiving frames. Each closes the connection on which it occurs, and no other.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum WireError {
-    /// the connection failed
+    /// connection failed
     Io(#[from] io::Error),
-    /// a frame is not a message of this protocol
-    Garbled(#[from] prost::DecodeError),
-    /// a frame without a body
+    /// frame is not a message of this protocol
+    Malformed(#[from] prost::DecodeError),
+    /// frame has no body
     EmptyFrame,
-    /// field '{0}' of a message is missing or not valid
+    /// field '{0}' of a message is missing or invalid
     BadField(&'static str),
-    /// the connection is closed
+    /// connection is closed
     Closed,
 }
 
 /// Why a handshake failed.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum HandshakeError {
-    /// the connection failed
+    /// connection failed
     Wire(#[from] WireError),
-    /// the peer did not finish the handshake in time
+    /// peer did not complete the handshake in time
     TimedOut,
-    /// the peer sent something else than the handshake asks for
+    /// peer sent an unexpected message during the handshake
     Unexpected,
-    /// the peer speaks protocol version {0}, this process {1}
+    /// peer uses protocol version {0}, this process uses version {1}
     Version(u32, u32),
-    /// the peer does not hold the fleet key
+    /// peer does not hold the fleet key
     WrongKey,
 }
 
--- a/crates/wire/src/fleet_key.rs
+++ b/crates/wire/src/fleet_key.rs
@@ -1,4 +1,4 @@
-//! The key that all processes of one fleet share.
+//! Secret key that all processes of one fleet share.
 
 use std::fmt;
 
@@ -7,19 +7,21 @@
 use hmac::Mac;
 use sha2::Sha256;
 
-/// The key that all processes of one fleet share. It is never printed.
+/// Secret key that all processes of one fleet share. Its `Debug` output doesn't show the key.
 #[derive(Clone)]
 pub struct FleetKey(Vec<u8>);
 
 impl FleetKey {
-    /// The key made of these bytes.
+    /// Creates a key from the bytes of a secret.
     pub fn new(secret: &str) -> Self {
         Self(secret.as_bytes().to_vec())
     }
 
-    /// The authentication code over the parts, each preceded by its length.
+    /// Computes HMAC-SHA-256 over the parts, each preceded by its length so that parts can't be shifted into each
+    /// other.
     pub(crate) fn mac(&self, parts: &[&[u8]]) -> Vec<u8> {
-        let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).expect("any key length is taken");
+        let mut mac =
+            Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC accepts keys of any length");
         for part in parts {
             mac.update(&(part.len() as u64).to_be_bytes());
             mac.update(part);
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,8 +1,7 @@
 //! The handshake: both sides prove that they hold the fleet key.
 //!
-//! Each side sends a fresh nonce, then an authentication code over its side, its
-//! own hello and the peer's nonce. The side in the code keeps a proof from being
-//! sent back to its author; the nonces keep it from being used again.
+//! Each side sends a fresh nonce, then a message authentication code over its side, its own hello and the peer's
+//! nonce. The side in the code prevents reflection of a proof to its author; the nonces prevent replay.
 
 use std::time::Duration;
 
@@ -25,16 +24,16 @@
 
 const PROTOCOL_VERSION: u32 = 1;
 const NONCE_LEN: usize = 32;
-/// Enough for a hello or a proof, and for nothing else.
+/// Fits a hello or a proof; a peer that isn't authenticated can't send more.
 const MAX_HANDSHAKE_FRAME_BYTES: usize = 1_024;
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Which side of a connection a process is.
+/// Side of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
-    /// The one that opened it: an entry.
+    /// The side that opened the connection: an entry.
     Initiator,
-    /// The one that accepted it: a sidecar.
+    /// The side that accepted the connection: a sidecar.
     Responder,
 }
 
@@ -54,20 +53,20 @@
     }
 }
 
-/// Proves both sides to each other and gives the connection with the peer's identity.
+/// Authenticates both sides to each other. Returns the connection and the peer's identity.
 ///
 /// # Errors
-/// Fails when the peer lacks the key, speaks another version or takes over 2 s.
+/// Fails if the peer lacks the key, uses another protocol version or takes more than 2 s.
 pub async fn handshake(
     stream: TcpStream,
     side: Side,
-    me: &Identity,
+    local: &Identity,
     key: &FleetKey,
     max_frame_bytes: usize,
 ) -> Result<(Framed<TcpStream, FrameCodec>, Identity), HandshakeError> {
     stream.set_nodelay(true)?;
     let mut framed = Framed::new(stream, FrameCodec::new(MAX_HANDSHAKE_FRAME_BYTES));
-    let exchange = exchange(&mut framed, side, me, key);
+    let exchange = exchange(&mut framed, side, local, key);
     let peer = tokio::time::timeout(HANDSHAKE_TIMEOUT, exchange)
         .await
         .map_err(|_| HandshakeError::TimedOut)??;
@@ -78,45 +77,45 @@
 async fn exchange(
     framed: &mut Framed<TcpStream, FrameCodec>,
     side: Side,
-    me: &Identity,
+    local: &Identity,
     key: &FleetKey,
 ) -> Result<Identity, HandshakeError> {
-    let mine = hello(me);
-    framed.send(Body::Hello(mine.clone())).await?;
-    let Body::Hello(theirs) = next(framed).await? else {
+    let local_hello = hello(local);
+    framed.send(Body::Hello(local_hello.clone())).await?;
+    let Body::Hello(peer_hello) = receive(framed).await? else {
         return Err(HandshakeError::Unexpected);
     };
-    if theirs.protocol_version != PROTOCOL_VERSION {
-        let versions = HandshakeError::Version(theirs.protocol_version, PROTOCOL_VERSION);
+    if peer_hello.protocol_version != PROTOCOL_VERSION {
+        let versions = HandshakeError::Version(peer_hello.protocol_version, PROTOCOL_VERSION);
         return Err(versions);
     }
-    if theirs.nonce.len() != NONCE_LEN {
+    if peer_hello.nonce.len() != NONCE_LEN {
         return Err(HandshakeError::Unexpected);
     }
-    let mac = proof_mac(key, side, &mine, &theirs.nonce);
+    let mac = proof_mac(key, side, &local_hello, &peer_hello.nonce);
     framed.send(Body::Proof(Proof { mac })).await?;
-    let Body::Proof(proof) = next(framed).await? else {
+    let Body::Proof(proof) = receive(framed).await? else {
         return Err(HandshakeError::Unexpected);
     };
-    let expected = proof_mac(key, side.other(), &theirs, &mine.nonce);
+    let expected = proof_mac(key, side.other(), &peer_hello, &local_hello.nonce);
     if !bool::from(expected.ct_eq(&proof.mac)) {
         return Err(HandshakeError::WrongKey);
     }
-    Ok(identity(&theirs)?)
+    Ok(identity(&peer_hello)?)
 }
 
-async fn next(framed: &mut Framed<TcpStream, FrameCodec>) -> Result<Body, WireError> {
+async fn receive(framed: &mut Framed<TcpStream, FrameCodec>) -> Result<Body, WireError> {
     framed.next().await.ok_or(WireError::Closed)?
 }
 
-fn hello(me: &Identity) -> Hello {
+fn hello(local: &Identity) -> Hello {
     let nonce: [u8; NONCE_LEN] = rand::random();
     Hello {
         protocol_version: PROTOCOL_VERSION,
         nonce: nonce.to_vec(),
-        incarnation: me.incarnation.as_bytes().to_vec(),
-        host: me.host.to_string(),
-        zone: me.zone.to_string(),
+        incarnation: local.incarnation.as_bytes().to_vec(),
+        host: local.host.to_string(),
+        zone: local.zone.to_string(),
     }
 }
 
--- a/crates/wire/src/identity.rs
+++ b/crates/wire/src/identity.rs
@@ -1,16 +1,16 @@
-//! Who a process says it is.
+//! Identity of a process.
 
 use stallhoist_core::HostId;
 use stallhoist_core::IncarnationId;
 use stallhoist_core::ZoneName;
 
-/// Who a process says it is.
+/// Identity that a process states in its hello.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
-    /// The host it runs on.
+    /// Host on which the process runs.
     pub host: HostId,
-    /// The host's availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Which life of the process this is.
+    /// Identifier of this run of the process.
     pub incarnation: IncarnationId,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,10 +1,11 @@
 //! Messages between entries and sidecars, their framing and the handshake.
 //!
-//! This crate exists so that there is one place where bytes become typed messages
-//! and back. Frames are length-delimited (`tokio-util`), bodies are protocol
-//! buffers (`prost`, generated code committed). Nothing is read from a peer before
-//! both sides have proved that they hold the fleet key; until then frames are
-//! bounded to a small size. The connection is authenticated, not encrypted.
+//! All encoding and decoding of messages is in this crate. Frames are length-delimited (`tokio-util`), bodies are
+//! protocol buffers (`prost`, generated code committed). No message besides the handshake is accepted from a peer
+//! before both sides have proved that they hold the fleet key; until then frames are limited to a small size. The
+//! connection is authenticated, not encrypted.
+//!
+//! Read `codec` first, then `handshake` and `connection`; `convert` and `table_messages` convert message types.
 
 mod codec;
 mod connection;
@@ -15,7 +16,7 @@
 mod identity;
 mod table_messages;
 
-/// The generated messages. Made by `cargo run -p stallhoist-wire-codegen`.
+/// The generated message types. Regenerate them with `cargo run -p stallhoist-wire-codegen`.
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 #[rustfmt::skip]
 pub mod messages {
--- a/crates/wire/src/table_messages.rs
+++ b/crates/wire/src/table_messages.rs
@@ -1,4 +1,4 @@
-//! Tables and edits as messages: the JSON documents that the platform's store keeps.
+//! Conversion of tables and edits to messages, which carry the JSON documents that the platform's store holds.
 
 use stallhoist_core::Revision;
 use stallhoist_table::LogEntry;
@@ -10,35 +10,35 @@
 use crate::messages::TableSnapshot;
 use crate::messages::frame::Body;
 
-/// A whole table as a message.
+/// Converts a complete table to a message.
 pub fn table_to_wire(table: &Table) -> Body {
-    let table_json = serde_json::to_vec(table).expect("the table is plain data");
+    let table_json = serde_json::to_vec(table).expect("a table is always serializable");
     Body::TableSnapshot(TableSnapshot { revision: table.revision.0, table_json })
 }
 
-/// A whole table out of a message.
+/// Converts a message to a complete table.
 ///
 /// # Errors
-/// Fails when the document is not a table.
+/// Fails if the document isn't a table.
 pub fn table_from_wire(message: &TableSnapshot) -> Result<Table, WireError> {
     serde_json::from_slice(&message.table_json).map_err(|_| WireError::BadField("table_json"))
 }
 
-/// A committed edit as a message.
+/// Converts a committed edit to a message.
 pub fn entry_to_wire(entry: &LogEntry) -> Body {
-    let entry_json = serde_json::to_vec(entry).expect("a log entry is plain data");
+    let entry_json = serde_json::to_vec(entry).expect("a log entry is always serializable");
     Body::TableEdit(TableEdit { revision: entry.revision.0, entry_json })
 }
 
-/// A committed edit out of a message.
+/// Converts a message to a committed edit.
 ///
 /// # Errors
-/// Fails when the document is not an edit.
+/// Fails if the document isn't an edit.
 pub fn entry_from_wire(message: &TableEdit) -> Result<LogEntry, WireError> {
     serde_json::from_slice(&message.entry_json).map_err(|_| WireError::BadField("entry_json"))
 }
 
-/// Asks for the whole table.
+/// Message that requests the complete table; `held` is the revision that the sender has.
 pub fn table_pull(held: Revision) -> Body {
     Body::TablePull(TablePull { held_revision: held.0 })
 }
