--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The client of all the platform's services.
+//! HTTP client of the platform's services.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use crate::StoreError;
 use crate::Transaction;
 
-/// The client of all the platform's services.
+/// HTTP client of the platform's services.
 #[derive(Debug, Clone)]
 pub struct PlatformClient {
     http: reqwest::Client,
@@ -24,26 +24,26 @@
 }
 
 impl PlatformClient {
-    /// A client of the platform at `base_url`. Each call ends when nothing has come for
-    /// `call_timeout`: an answer is judged by its progress, as a long list takes longer over a slow
-    /// link, and would take as long again at the next try.
+    /// Creates a client of the platform at `base_url`. A call times out if no data arrives for `call_timeout`. The
+    /// timeout doesn't cover the complete reply, as a long list takes longer over a slow link and would take as long
+    /// again when retried.
     ///
     /// # Panics
-    /// Panics when the HTTP library cannot start, which is a broken installation.
+    /// Panics if the HTTP library can't be initialized, as with a broken installation.
     pub fn new(base_url: &str, call_timeout: Duration) -> Self {
         let http = reqwest::Client::builder()
             .read_timeout(call_timeout)
             .connect_timeout(call_timeout)
             .no_proxy()
             .build()
-            .expect("the HTTP client has no settings that can fail");
+            .expect("HTTP client settings are valid");
         Self { http, base_url: base_url.trim_end_matches('/').to_owned() }
     }
 
-    /// Reads a record; none when it is not there.
+    /// Reads a record; `None` if it doesn't exist.
     ///
     /// # Errors
-    /// Fails when the platform does not answer.
+    /// Fails if the platform isn't reached, doesn't reply or rejects the call.
     pub async fn read(&self, key: &str) -> Result<Option<Record>, StoreError> {
         let request = self.http.get(self.url("/v1/record")).query(&[("key", key)]);
         let response = request.send().await.map_err(StoreError::from)?;
@@ -53,10 +53,10 @@
         decode(response).await.map(Some)
     }
 
-    /// Reads records under a prefix, in the order of their keys, after a key.
+    /// Reads up to `limit` records whose keys begin with `prefix` and follow `after`, in the order of their keys.
     ///
     /// # Errors
-    /// Fails when the platform does not answer.
+    /// Fails if the platform isn't reached, doesn't reply or rejects the call.
     pub async fn list(
         &self,
         prefix: &str,
@@ -68,32 +68,32 @@
         self.get("/v1/records", &query).await
     }
 
-    /// Writes a transaction.
+    /// Commits a transaction.
     ///
     /// # Errors
-    /// [`StoreError::Conflict`] when a condition does not hold, and
-    /// [`StoreError::Unsettled`] when it may have been written.
+    /// Fails with [`StoreError::Conflict`] if a condition doesn't hold, with [`StoreError::Unsettled`] if the
+    /// transaction may have been written, and otherwise if the platform isn't reached or rejects the call.
     pub async fn commit(&self, transaction: &Transaction) -> Result<(), StoreError> {
         let response = self.post("/v1/transactions", transaction).await?;
         if response.status() == StatusCode::CONFLICT {
             let reply: ConflictReply = response.json().await?;
             return Err(StoreError::Conflict(reply.conflicts));
         }
-        check(response).await.map(|_| ())
+        check_status(response).await.map(|_| ())
     }
 
     /// Reads the list of hosts.
     ///
     /// # Errors
-    /// Fails when the platform does not answer.
+    /// Fails if the platform isn't reached, doesn't reply or rejects the call.
     pub async fn hosts(&self) -> Result<HostList, StoreError> {
         self.get("/v1/hosts", &[]).await
     }
 
-    /// Has an answer rated.
+    /// Requests the rating of a response.
     ///
     /// # Errors
-    /// Fails when the platform does not answer.
+    /// Fails if the platform isn't reached, doesn't reply or rejects the call.
     pub async fn rate(&self, request: &RatingRequest) -> Result<Rating, StoreError> {
         let response = self.post("/v1/ratings", request).await?;
         decode(response).await
@@ -129,16 +129,16 @@
 }
 
 async fn decode<T: DeserializeOwned>(response: Response) -> Result<T, StoreError> {
-    let response = check(response).await?;
+    let response = check_status(response).await?;
     Ok(response.json().await?)
 }
 
-async fn check(response: Response) -> Result<Response, StoreError> {
+async fn check_status(response: Response) -> Result<Response, StoreError> {
     let status = response.status();
     if status.is_success() {
         return Ok(response);
     }
-    // A server that fails may have done the work before it failed.
+    // The server may have executed the call before it failed.
     if status.is_server_error() {
         return Err(StoreError::Unsettled(format!("status {status}")));
     }
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,18 +1,18 @@
-//! What a call to the platform can end in.
+//! Errors of calls to the platform.
 
 use displaydoc::Display;
 
 use crate::Conflict;
 
-/// What a call to the platform can end in besides success.
+/// Why a call to the platform didn't succeed.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum StoreError {
-    /// the platform was not reached; nothing was written
+    /// platform not reached; nothing was written
     NotReached(#[source] reqwest::Error),
-    /// no usable reply came; a write may have taken effect
+    /// no usable reply; a write may have taken effect
     Unsettled(String),
-    /// records are not what the transaction expects; nothing was written
+    /// a condition of the transaction does not hold; nothing was written
     Conflict(Vec<Conflict>),
-    /// the platform refused the call: {0}
+    /// platform rejected the call: {0}
     Refused(String),
 }
--- a/crates/platform/src/host_list.rs
+++ b/crates/platform/src/host_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts. It lags behind what is.
+//! The platform's list of hosts. It lags behind the actual state.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,45 +6,45 @@
 use stallhoist_core::Target;
 use stallhoist_core::ZoneName;
 
-/// What a host is for.
+/// Role of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostRole {
-    /// An entry host.
+    /// A host that runs an entry.
     Entry,
-    /// A host with an upstream and a sidecar.
+    /// A host that runs an upstream and its sidecar.
     Upstream,
 }
 
-/// Whether a host is about to go.
+/// Whether a host is about to be removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostState {
     /// In use.
     Live,
-    /// Leaving: no new work for it.
+    /// About to be removed: it receives no new requests.
     Leaving,
 }
 
-/// One host.
+/// One host of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// Its name.
+    /// Name of the host.
     pub host: HostId,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// What it is for.
+    /// Role of the host.
     pub role: HostRole,
-    /// Where its process of the system listens for others, `IP:PORT`.
+    /// Address at which the host's entry or sidecar accepts connections, `IP:PORT`.
     pub address: String,
-    /// Whether it is about to go.
+    /// Whether the host is about to be removed.
     pub state: HostState,
-    /// What its upstream serves.
+    /// Models and services that the host's upstream serves.
     #[serde(default)]
     pub serves: Vec<Target>,
 }
 
-/// The list.
+/// The list of hosts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
     /// The hosts.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,9 +1,10 @@
-//! Clients of the platform's table service, host list, object store and rater.
+//! Client of the platform's table service, host list and rating service.
 //!
-//! This crate exists so that one place knows the platform's published interface and
-//! one place decides what a missing reply means. A write whose reply is lost may
-//! have taken effect: it ends as [`StoreError::Unsettled`], never as a failure, and
-//! the caller settles it by reading back.
+//! This crate alone knows the platform's published interface and interprets a missing reply. A write whose reply is
+//! lost may have taken effect: it returns [`StoreError::Unsettled`], never a failure, and the caller determines the
+//! outcome by reading back.
+//!
+//! Read `client` first; `transaction`, `record`, `host_list` and `rating` hold the bodies of its requests and replies.
 
 mod client;
 mod error;
--- a/crates/platform/src/rating.rs
+++ b/crates/platform/src/rating.rs
@@ -1,24 +1,24 @@
-//! The platform's service that rates answers.
+//! Requests and replies of the platform's rating service.
 
 use serde::Deserialize;
 use serde::Serialize;
 use stallhoist_core::ModelVersion;
 use stallhoist_core::RequestId;
 
-/// Asks for the rating of an answer.
+/// Request to rate a response.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RatingRequest {
-    /// The request that was answered.
+    /// Identifier of the request.
     pub request: RequestId,
-    /// What answered it.
+    /// Model version that produced the response.
     pub version: ModelVersion,
-    /// The answer's text.
+    /// Text of the response.
     pub answer: String,
 }
 
-/// The rating of an answer.
+/// Rating of a response.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Rating {
-    /// From 0, useless, to 1, perfect.
+    /// Quality, from 0 (useless) to 1 (perfect).
     pub score: f64,
 }
--- a/crates/platform/src/record.rs
+++ b/crates/platform/src/record.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// The version of a record. It grows with every write of the record.
+/// Version of a record, which increases with every write of the record.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -19,22 +19,22 @@
     }
 }
 
-/// A record.
+/// A record of the table service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Record {
-    /// Its key.
+    /// Key of the record.
     pub key: String,
-    /// Its version.
+    /// Version of the record.
     pub version: RecordVersion,
-    /// Its value.
+    /// Value of the record.
     pub value: Value,
 }
 
-/// A part of the records under a prefix, in the order of their keys.
+/// A page of the records under a prefix, in the order of their keys.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RecordPage {
-    /// The records.
+    /// The records of this page.
     pub records: Vec<Record>,
-    /// Whether more follow after the last one.
+    /// Whether more records follow.
     pub has_more: bool,
 }
--- a/crates/platform/src/transaction.rs
+++ b/crates/platform/src/transaction.rs
@@ -7,60 +7,60 @@
 use crate::Record;
 use crate::RecordVersion;
 
-/// What a transaction expects of a record.
+/// State in which a transaction expects a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Expectation {
-    /// It is not there.
+    /// The record doesn't exist.
     Absent,
-    /// It has this version.
+    /// The record has this version.
     Version(RecordVersion),
 }
 
 /// A condition on one record.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Condition {
-    /// The record's key.
+    /// Key of the record.
     pub key: String,
-    /// What is expected of it.
+    /// Expected state of the record.
     pub expect: Expectation,
 }
 
-/// A record to be written.
+/// A record to write.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Put {
-    /// The record's key.
+    /// Key of the record.
     pub key: String,
-    /// Its new value.
+    /// New value of the record.
     pub value: Value,
 }
 
-/// A transaction: all conditions hold and everything is written, or nothing is.
+/// An atomic transaction: if all conditions hold, everything is written, and otherwise nothing.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// Conditions on the current records.
     #[serde(default)]
     pub conditions: Vec<Condition>,
-    /// What is written.
+    /// Records to write.
     #[serde(default)]
     pub puts: Vec<Put>,
-    /// The keys of records that are removed.
+    /// Keys of records to delete.
     #[serde(default)]
     pub deletes: Vec<String>,
 }
 
-/// A record that was not as expected.
+/// A record that violated a condition.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Conflict {
-    /// Its key.
+    /// Key of the record.
     pub key: String,
-    /// The record as it is; none when it is not there.
+    /// The current record; `None` if it doesn't exist.
     pub found: Option<Record>,
 }
 
-/// The body of a reply that refuses a transaction.
+/// Body of the reply that rejects a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ConflictReply {
-    /// The records that were not as expected.
+    /// The records that violated a condition.
     pub conflicts: Vec<Conflict>,
 }
