--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,8 @@
-//! Starting and stopping HTTP servers the way every process needs it.
+//! Starting and stopping of HTTP servers, and authentication of operators.
 //!
-//! This crate exists because the server's defaults do not fit a router: it would
-//! stop on a signal by itself and cut what is in progress. Here a server stops only
-//! when told, refuses new connections at once and lets what is in progress finish.
+//! By default, the HTTP library stops on a signal by itself and cuts requests in progress, which doesn't suit a
+//! router. Here a server stops only on request: it rejects new connections at once and lets requests in progress
+//! finish.
 
 mod operators_key;
 mod server;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! One running HTTP server.
+//! Start, settings and shutdown of an HTTP server.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -17,31 +17,31 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-/// Time the server's own clean-up is given after the grace has passed.
-const MERCY_S: u32 = 1;
+/// Time that the server has for its own clean-up after the grace period.
+const CLEANUP_GRACE_S: u32 = 1;
 
-/// Why a server did not start.
+/// Why a server didn't start.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum ServerError {
     /// cannot serve on {addr}: {cause}
     NotStarted {
-        /// The address that was asked for.
+        /// The requested address.
         addr: SocketAddr,
-        /// Why.
+        /// The cause.
         cause: String,
     },
 }
 
-/// How a server listens and stops.
+/// Address, limits and grace period of a server.
 #[derive(Debug, Clone)]
 pub struct ServerSettings {
-    /// Where it listens; port 0 takes a free one.
+    /// Address to listen on; with port 0 the system chooses a free port.
     pub addr: SocketAddr,
-    /// The largest request body.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// How long an idle connection is kept open, in seconds.
+    /// Time after which an idle connection is closed, in seconds.
     pub keep_alive_s: u32,
-    /// How long a stop waits for requests in progress.
+    /// Time that a shutdown waits for requests in progress.
     pub stop_grace: Duration,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// One running HTTP server.
+/// A running HTTP server.
 #[derive(Debug)]
 pub struct HttpServer {
     addr: SocketAddr,
@@ -65,28 +65,28 @@
 }
 
 impl HttpServer {
-    /// Starts serving and gives the server once it listens.
+    /// Starts a server and returns once it listens.
     ///
     /// # Errors
-    /// Fails when the address cannot be listened on or the routes collide.
+    /// Fails if the address can't be bound or routes collide.
     pub async fn start(
         rocket: Rocket<Build>,
         settings: &ServerSettings,
     ) -> Result<Self, ServerError> {
         let not_started = |cause: String| ServerError::NotStarted { addr: settings.addr, cause };
-        let (tell_bound, bound) = oneshot::channel();
-        let liftoff = AdHoc::on_liftoff("tell address", move |rocket| {
+        let (bound_sender, bound) = oneshot::channel();
+        let liftoff = AdHoc::on_liftoff("report bound address", move |rocket| {
             let addr = SocketAddr::new(rocket.config().address, rocket.config().port);
             Box::pin(async move {
-                let _ = tell_bound.send((addr, rocket.shutdown()));
+                let _ = bound_sender.send((addr, rocket.shutdown()));
             })
         });
         let rocket = rocket.configure(config(settings)).attach(liftoff);
         let ignited = rocket.ignite().await.map_err(|e| not_started(e.kind().to_string()))?;
-        let (tell_failed, failed) = oneshot::channel();
+        let (failed_sender, failed) = oneshot::channel();
         let task = tokio::spawn(async move {
             if let Err(error) = ignited.launch().await {
-                let _ = tell_failed.send(error.kind().to_string());
+                let _ = failed_sender.send(error.kind().to_string());
             }
         });
         match bound.await {
@@ -95,19 +95,18 @@
         }
     }
 
-    /// Where the server listens.
+    /// The address on which the server listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Refuses new connections from now on; requests in progress go on.
+    /// Begins the shutdown: rejects new connections, while requests in progress continue.
     pub fn begin_stop(&self) {
         self.shutdown.clone().notify();
     }
 
-    /// Stops, giving what is still being written `linger` to go out. The caller knows
-    /// when its requests have ended; the server itself would wait out its whole grace
-    /// for connections that are merely kept alive.
+    /// Shuts down, with `linger` as the time for pending writes. The caller knows when its requests have ended; the
+    /// server itself would wait its whole grace period for connections that are only kept alive.
     pub async fn stop(self, linger: Duration) {
         self.begin_stop();
         let mut task = self.task;
@@ -133,7 +132,7 @@
             ctrlc: false,
             signals: HashSet::new(),
             grace: u32::try_from(settings.stop_grace.as_secs()).unwrap_or(u32::MAX).max(1),
-            mercy: MERCY_S,
+            mercy: CLEANUP_GRACE_S,
             ..ShutdownConfig::default()
         },
         ..Config::release_default()
