--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,7 @@
-//! Logs as JSON lines, and metrics.
+//! Logs as JSON lines, and metrics, in the same form for all daemons.
 //!
-//! This crate exists so that both daemons log and count the same way. Libraries
-//! are let through from WARN on only: the HTTP server would otherwise print whole
-//! requests, with the callers' keys in their headers.
+//! Libraries log at WARN and above only: the HTTP server would otherwise log complete requests, with the callers'
+//! keys in their headers.
 
 mod logging;
 mod metrics;
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -1,7 +1,7 @@
-//! The log: JSON lines on standard output, written by a thread of their own.
+//! The log: JSON lines, written by a separate thread.
 //!
-//! Nothing that serves requests waits for the log: lines go through a bounded queue, and
-//! when whoever reads standard output does not keep up, new lines are dropped.
+//! No request waits for the log: lines go through a bounded queue, and new lines are dropped while the reader of the
+//! output doesn't keep up.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,22 +13,22 @@
 use logforth::layout::JsonLayout;
 use logforth::starter_log;
 
-/// Lines that may wait to be written.
+/// Maximum number of lines queued for writing; beyond it new lines are dropped.
 const MAX_QUEUED_LINES: usize = 4_096;
 
-/// How long an ending process waits for its last lines to be written.
-const FLUSH_PATIENCE: Duration = Duration::from_millis(200);
+/// Time that an exiting process waits until its last lines are written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How much of our own doings is logged. Libraries log from WARN on, whatever this is.
+/// Log level of this project's crates. Libraries log at WARN and above, whatever this level is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogLevel {
     /// Only errors.
     Error,
-    /// Warnings too.
+    /// Errors and warnings.
     Warn,
-    /// What an operator wants to know.
+    /// Events for operators too.
     Info,
-    /// What a developer wants to know.
+    /// Details for developers too.
     Debug,
 }
 
@@ -57,19 +57,19 @@
     }
 }
 
-/// Where the log goes.
+/// Destination of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogOutput {
-    /// Standard output, as operators collect it.
+    /// Standard output, from which operators collect the log.
     Stdout,
-    /// Standard error, for commands that print something else on standard output.
+    /// Standard error, for commands that print their result on standard output.
     Stderr,
 }
 
-/// Starts logging for the whole process. A second call changes nothing.
+/// Starts logging for the whole process. Further calls have no effect.
 pub fn start_logging(level: LogLevel, output: LogOutput) {
-    // Our crates all begin with the project's name; everything else is a library.
-    // Rocket says at WARN what it does at each start, and at each answer that is no success.
+    // The names of the project's crates begin with its name; all others are libraries. Rocket is limited to ERROR, as
+    // it logs its configuration at each start and each unsuccessful response at WARN.
     let spec = format!("warn,rocket=error,stallhoist={level}");
     let filter = RustLogFilterBuilder::from_spec(spec).build();
     let queue = append::asynchronous::AsyncBuilder::new("log")
@@ -86,14 +86,14 @@
         .try_apply();
 }
 
-/// Waits until the lines so far are written, for a short time at most: a reader that does
-/// not keep up must not keep a process from ending.
+/// Waits until all queued lines are written, but only for a short time: a reader that doesn't keep up must not
+/// prevent the process from exiting.
 pub fn flush_logging() {
-    let (tell, told) = mpsc::channel();
+    let (done_sender, done) = mpsc::channel();
     std::thread::spawn(move || {
         log::logger().flush();
-        // Nobody waits any more when the flush took too long.
-        let _ = tell.send(());
+        // The receiver is gone if the flush took longer than the timeout.
+        let _ = done_sender.send(());
     });
-    let _ = told.recv_timeout(FLUSH_PATIENCE);
+    let _ = done.recv_timeout(FLUSH_TIMEOUT);
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The page that a metrics collector reads.
+//! The metrics page in the OpenMetrics text format.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 const NAME_PREFIX: &str = "stallhoist";
 
-/// A registry and the text it is shown as.
+/// A registry of metrics and its text form.
 #[derive(Debug)]
 pub struct MetricsPage {
     registry: Registry,
@@ -20,15 +20,15 @@
 }
 
 impl MetricsPage {
-    /// The registry, to register metrics with before the page is shared.
+    /// Returns the registry, to register metrics before the page is shared.
     pub fn registry_mut(&mut self) -> &mut Registry {
         &mut self.registry
     }
 
-    /// The page in the OpenMetrics text format.
+    /// Renders the page in the OpenMetrics text format.
     ///
     /// # Errors
-    /// Fails only when a metric cannot be written.
+    /// Fails only if a metric can't be encoded.
     pub fn render(&self) -> Result<String, fmt::Error> {
         let mut page = String::new();
         encode(&mut page, &self.registry)?;
