--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,6 @@
-//! What the daemons' binaries have in common: arguments, log, settings and signals.
+//! Code that the daemons' binaries share: arguments, logging, settings and signals.
 //!
-//! This crate exists so that the binaries are thin: each says its name and how it
-//! starts and stops.
+//! Each binary contains only its name, its startup and its shutdown.
 
 use std::error::Error;
 use std::io;
@@ -23,7 +22,7 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// A daemon's arguments.
+/// Command-line arguments of a daemon.
 pub fn command(name: &'static str, about: &'static str) -> Command {
     Command::new(name)
         .about(about)
@@ -48,10 +47,10 @@
         )
 }
 
-/// Starts the log and reads the settings that the arguments name.
+/// Starts logging and loads the settings file that the arguments name.
 ///
 /// # Errors
-/// Fails with all that is wrong with the settings.
+/// Fails if the file can't be read or parsed, or with all its problems.
 pub fn initialize<T: DeserializeOwned + Validate>(
     matches: &ArgMatches,
 ) -> Result<T, SettingsError> {
@@ -64,45 +63,44 @@
     matches.get_one::<PathBuf>("settings").cloned().unwrap_or_default()
 }
 
-/// The signal that says that the settings file has changed.
+/// SIGHUP, which requests a check of the changed settings file.
 #[derive(Debug)]
 pub struct HangupSignal {
-    hang_up: Signal,
+    sighup: Signal,
 }
 
 impl HangupSignal {
-    /// Begins to listen. Without it, the signal would end the process.
+    /// Registers the signal handler. Without it, the signal would terminate the process.
     ///
     /// # Errors
-    /// Fails when the system does not allow it.
+    /// Fails if the handler can't be registered.
     pub fn listen() -> io::Result<Self> {
-        Ok(Self { hang_up: signal(SignalKind::hangup())? })
+        Ok(Self { sighup: signal(SignalKind::hangup())? })
     }
 
-    /// At each signal, reads and checks the settings anew and says what came of it. What
-    /// has changed comes into force at the next start: a wrong file stops nothing that runs.
+    /// At each signal, loads and validates the settings again and logs the result. Changes become active at the next
+    /// start, so an invalid file doesn't affect a running process.
     pub async fn check_settings<T: DeserializeOwned + Validate>(mut self, matches: ArgMatches) {
-        while self.hang_up.recv().await.is_some() {
+        while self.sighup.recv().await.is_some() {
             match stallhoist_settings::load::<T>(&settings_path(&matches)) {
-                Ok(_) => log::info!("settings read anew, in force at the next start"),
-                Err(error) => log::error!(error:% = error; "settings refused"),
+                Ok(_) => log::info!("settings read anew, active at the next start"),
+                Err(error) => log::error!(error:% = error; "settings rejected"),
             }
         }
     }
 }
 
-/// The signals that ask a process to stop. Listened for before anything else starts, so
-/// that none is missed.
+/// Signals that request a process to stop. Register them before anything else starts, so that none is missed.
 #[derive(Debug)]
 pub struct StopSignals {
     terminate: Signal,
 }
 
 impl StopSignals {
-    /// Begins to listen.
+    /// Registers the signal handler.
     ///
     /// # Errors
-    /// Fails when the system does not allow it.
+    /// Fails if the handler can't be registered.
     pub fn listen() -> io::Result<Self> {
         Ok(Self { terminate: signal(SignalKind::terminate())? })
     }
@@ -116,8 +114,7 @@
     }
 }
 
-/// Ends a daemon: writes what is left of the log, and says why it could not start or go
-/// on, if so.
+/// Flushes the log, prints the error of a daemon that failed and returns its exit code.
 pub fn end(name: &str, result: Result<(), Box<dyn Error>>) -> ExitCode {
     flush_logging();
     match result {
