--- a/crates/standins/src/users_platform/end_rule.rs
+++ b/crates/standins/src/users_platform/crash_rule.rs
@@ -6,7 +6,7 @@
 
 /// Which requests end an upstream's process, and how.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EndRule {
+pub struct CrashRule {
     /// Requests whose body begins so.
     pub body_prefix: Bytes,
     /// The chance that one does, from 0 to 1.
@@ -15,7 +15,7 @@
     /// is under way.
     pub after: Duration,
     /// How long after its end the upstream starts again, at its address and under its id.
-    pub back_after: Duration,
+    pub restart_after: Duration,
     /// How long after that its new start is listed.
     pub listed_after: Duration,
     /// Whether its address takes connections all the while, as with a supervisor that holds it: the
@@ -23,14 +23,14 @@
     pub keeps_listening: bool,
 }
 
-impl EndRule {
+impl CrashRule {
     /// Each request whose body begins so ends the process before it replies; it is back after 0.3 s.
     pub fn of(body_prefix: &str) -> Self {
         Self {
             body_prefix: Bytes::from(body_prefix.to_owned()),
             chance: 1.0,
             after: Duration::ZERO,
-            back_after: Duration::from_millis(300),
+            restart_after: Duration::from_millis(300),
             listed_after: Duration::ZERO,
             keeps_listening: false,
         }
@@ -38,9 +38,9 @@
 
     /// The same, but its address takes connections all the while: that it has ended shows only when
     /// its new start is listed, so long afterwards.
-    pub fn shown_later(body_prefix: &str, listed_after: Duration) -> Self {
+    pub fn detected_by_listing(body_prefix: &str, listed_after: Duration) -> Self {
         Self {
-            back_after: Duration::ZERO,
+            restart_after: Duration::ZERO,
             listed_after,
             keeps_listening: true,
             ..Self::of(body_prefix)
--- a/crates/standins/src/users_platform/mod.rs
+++ b/crates/standins/src/users_platform/mod.rs
@@ -1,6 +1,6 @@
 //! The users' platform: its store and its upstreams, as their published pages tell.
 
-mod end_rule;
+mod crash_rule;
 mod server;
 mod store;
 mod store_state;
@@ -8,13 +8,13 @@
 mod upstream_behaviour;
 mod upstream_reply;
 
-pub use end_rule::EndRule;
+pub use crash_rule::CrashRule;
 pub use store::StoreStandin;
 pub use store::StoreWriter;
 pub use store_state::LostWrites;
 pub use store_state::StoreCopy;
 pub use store_state::StoreFault;
 pub use upstream::Arrival;
-pub use upstream::End;
+pub use upstream::Crash;
 pub use upstream::UpstreamStandin;
 pub use upstream_behaviour::Behaviour;
--- a/crates/standins/src/users_platform/upstream.rs
+++ b/crates/standins/src/users_platform/upstream.rs
@@ -26,7 +26,7 @@
 use serde_json::json;
 
 use super::Behaviour;
-use super::EndRule;
+use super::CrashRule;
 use super::StoreWriter;
 use super::server::Body;
 use super::server::Server;
@@ -66,7 +66,7 @@
 
 /// An end of an upstream's process by a request.
 #[derive(Debug, Clone)]
-pub struct End {
+pub struct Crash {
     /// The body of the request.
     pub body: Bytes,
     /// When it was.
@@ -76,7 +76,7 @@
 /// What an upstream does that ends and starts again.
 #[derive(Debug, Clone)]
 struct Ending {
-    rule: EndRule,
+    rule: CrashRule,
     /// Where it lists its starts, and its service.
     list: StoreWriter,
     service: String,
@@ -95,7 +95,7 @@
     running: u32,
     abandoned: usize,
     ending: Option<Ending>,
-    ends: Vec<End>,
+    ends: Vec<Crash>,
 }
 
 #[derive(Debug)]
@@ -144,7 +144,7 @@
     }
 
     /// From now on some requests end it. Each of its starts is listed in the store.
-    pub fn ends_on(&self, rule: EndRule, list: StoreWriter, service: &str) {
+    pub fn crash_on(&self, rule: CrashRule, list: StoreWriter, service: &str) {
         let service = service.to_owned();
         let ending = Ending { rule, list, service, born_ms: FIRST_BORN_MS };
         self.process.state.lock().ending = Some(ending);
@@ -152,7 +152,7 @@
     }
 
     /// When requests have ended it.
-    pub fn ends(&self) -> Vec<End> {
+    pub fn ends(&self) -> Vec<Crash> {
         self.process.state.lock().ends.clone()
     }
 
@@ -244,19 +244,19 @@
     }
 
     /// Ends by a request, and starts again after a while.
-    fn end_by(self: Arc<Self>, rule: EndRule, body: Bytes) -> BoxFuture<'static, ()> {
+    fn end_by(self: Arc<Self>, rule: CrashRule, body: Bytes) -> BoxFuture<'static, ()> {
         Box::pin(async move {
             tokio::time::sleep(rule.after).await;
             if rule.keeps_listening {
-                self.state.lock().ends.push(End { body, at: Instant::now() });
+                self.state.lock().ends.push(Crash { body, at: Instant::now() });
             } else {
                 let Some(server) = self.server.lock().take() else {
                     return;
                 };
-                self.state.lock().ends.push(End { body, at: Instant::now() });
+                self.state.lock().ends.push(Crash { body, at: Instant::now() });
                 server.end().await;
             }
-            tokio::time::sleep(rule.back_after).await;
+            tokio::time::sleep(rule.restart_after).await;
             if let Some(ending) = &mut self.state.lock().ending {
                 ending.born_ms += BORN_STEP_MS;
             }
@@ -270,7 +270,7 @@
     }
 
     /// The rule by which a request ends the process, if it does.
-    fn end_rule(&self, body: &Bytes) -> Option<EndRule> {
+    fn crash_rule(&self, body: &Bytes) -> Option<CrashRule> {
         let rule = self.state.lock().ending.as_ref().map(|ending| ending.rule.clone())?;
         let is_meant = body.starts_with(&rule.body_prefix);
         (is_meant && rand::random_bool(rule.chance)).then_some(rule)
@@ -322,7 +322,7 @@
         Arrival { line, headers: head.headers, body, at, is_run: false, asked_for_rest: false };
     let behaviour = take_next(&state, &mut arrival, &process.instance);
     let mut running = Running::new(state);
-    if let Some(rule) = process.end_rule(&arrival.body).filter(|_| arrival.is_run) {
+    if let Some(rule) = process.crash_rule(&arrival.body).filter(|_| arrival.is_run) {
         let (is_at_once, keeps_listening) = (rule.after.is_zero(), rule.keeps_listening);
         tokio::spawn(Arc::clone(&process).end_by(rule, arrival.body.clone()));
         if keeps_listening {
--- a/tests/all/gateway/fatal_requests.rs
+++ b/tests/all/gateway/fatal_requests.rs
@@ -21,8 +21,8 @@
 use serde_json::json;
 use stallhoist_policy::fatal::FatalConfig;
 use stallhoist_standins::users_platform::Behaviour;
-use stallhoist_standins::users_platform::End;
-use stallhoist_standins::users_platform::EndRule;
+use stallhoist_standins::users_platform::Crash;
+use stallhoist_standins::users_platform::CrashRule;
 use stallhoist_standins::users_platform::StoreFault;
 use stallhoist_standins::users_platform::StoreStandin;
 use stallhoist_standins::users_platform::UpstreamStandin;
@@ -86,7 +86,7 @@
         for n in 0..UPSTREAMS {
             let upstream = UpstreamStandin::start(&format!("i-{n}"), usual.clone()).await;
             let upstream = upstream.expect("the upstream starts");
-            upstream.ends_on(EndRule::of(FATAL), fleet.store.writer(), service);
+            upstream.crash_on(CrashRule::of(FATAL), fleet.store.writer(), service);
             upstreams.push(upstream);
         }
         wait_until("all upstreams are known", async || {
@@ -143,7 +143,7 @@
     }
 
     /// The crashes under a request, in order.
-    fn ends(&self, body: &str) -> Vec<End> {
+    fn ends(&self, body: &str) -> Vec<Crash> {
         let ends = self.upstreams.iter().flat_map(UpstreamStandin::ends);
         let mut ends: Vec<_> = ends.filter(|end| end.body == body).collect();
         ends.sort_by_key(|end| end.at);
@@ -198,8 +198,8 @@
 ) {
     let world = World::start(entries, PLAIN).await;
     for upstream in &world.upstreams {
-        let rule = EndRule::shown_later(FATAL, listed_after);
-        upstream.ends_on(rule, world.fleet.store.writer(), PLAIN);
+        let rule = CrashRule::detected_by_listing(FATAL, listed_after);
+        upstream.crash_on(rule, world.fleet.store.writer(), PLAIN);
     }
     let last = world.repeat(path, FATAL).await;
     let known = world.known_at(FATAL).expect("it has crashed three upstreams");
@@ -322,9 +322,9 @@
     let world = World::start(7, PLAIN).await;
     world.repeat("/once/x", FATAL).await;
     world.assert_is_quarantined(FATAL);
-    let other = EndRule::of("no request begins so");
+    let other = CrashRule::of("no request begins so");
     for upstream in &world.upstreams {
-        upstream.ends_on(other.clone(), world.fleet.store.writer(), PLAIN);
+        upstream.crash_on(other.clone(), world.fleet.store.writer(), PLAIN);
     }
     for entry in 0..world.fleet.entries.len() {
         wait_until("it is served again", async || world.ask(entry, "/once/x", FATAL).await == 200)
--- a/tests/all/gateway/store_returns.rs
+++ b/tests/all/gateway/store_returns.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 use serde_json::json;
 use stallhoist_standins::users_platform::Behaviour;
-use stallhoist_standins::users_platform::EndRule;
+use stallhoist_standins::users_platform::CrashRule;
 use stallhoist_standins::users_platform::StoreCopy;
 use stallhoist_standins::users_platform::StoreStandin;
 
@@ -283,7 +283,7 @@
 case!(a_request_held_back_since_stays_so, async {
     let world = World::start(PLAIN, &vec![Behaviour::answer("done"); 6]).await;
     for upstream in &world.upstreams {
-        upstream.ends_on(EndRule::of(FATAL), world.store.writer(), PLAIN);
+        upstream.crash_on(CrashRule::of(FATAL), world.store.writer(), PLAIN);
     }
     wait_for_listed(&world, 6).await;
     let copy = world.store.copy();
--- a/tests/all/soak/fragile.rs
+++ b/tests/all/soak/fragile.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use serde_json::json;
 use stallhoist_standins::users_platform::Behaviour;
-use stallhoist_standins::users_platform::EndRule;
+use stallhoist_standins::users_platform::CrashRule;
 use stallhoist_standins::users_platform::StoreStandin;
 use stallhoist_standins::users_platform::UpstreamStandin;
 
@@ -44,12 +44,12 @@
         confidence: None,
         torn_after: None,
     };
-    let rule = EndRule { after: Duration::from_millis(30), ..EndRule::of(FATAL) };
+    let rule = CrashRule { after: Duration::from_millis(30), ..CrashRule::of(FATAL) };
     let mut upstreams = Vec::new();
     for n in 0..UPSTREAMS {
         let upstream = UpstreamStandin::start(&format!("i-fragile-{n}"), usual.clone()).await;
         let upstream = upstream.expect("an upstream starts");
-        upstream.ends_on(rule.clone(), store.writer(), SERVICE);
+        upstream.crash_on(rule.clone(), store.writer(), SERVICE);
         upstreams.push(upstream);
     }
     upstreams
