--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -125,7 +125,7 @@
             }
         };
         join_all((0..LONG_RUN_CALLERS).map(|_| one())).await;
-        fleet.engines.iter().for_each(|engine| engine.forget_executions());
+        fleet.engines.iter().for_each(|engine| engine.clear_executions());
         note(LONG_RUN / parts * part);
     }
     let took = began.elapsed();
--- a/crates/standins/src/engine/server.rs
+++ b/crates/standins/src/engine/server.rs
@@ -52,7 +52,7 @@
     }
 
     /// Forgets what was executed, so that long runs stay small.
-    pub fn forget_executions(&self) {
+    pub fn clear_executions(&self) {
         let mut generations = self.state.generations.lock();
         generations.by_request.clear();
         generations.in_order.clear();
--- a/crates/standins/src/platform/server.rs
+++ b/crates/standins/src/platform/server.rs
@@ -92,7 +92,7 @@
     }
 
     /// How many replies are still to be lost.
-    pub fn replies_still_to_lose(&self) -> u64 {
+    pub fn remaining_lost_replies(&self) -> u64 {
         self.shared.faults.lock().lose_write_replies
     }
 
--- a/crates/standins/src/users_platform/store.rs
+++ b/crates/standins/src/users_platform/store.rs
@@ -130,8 +130,8 @@
     }
 
     /// Drops the history of changes.
-    pub fn forget_history(&self) {
-        self.shared.state.lock().forget_history();
+    pub fn clear_history(&self) {
+        self.shared.state.lock().clear_history();
         self.shared.changed.notify_waiters();
     }
 
@@ -149,14 +149,14 @@
     }
 
     /// Tells another era than it is in, or again that one.
-    pub fn tell_era(&self, era: Option<u64>) {
+    pub fn override_era(&self, era: Option<u64>) {
         self.shared.state.lock().told_era = era;
         self.shared.changed.notify_waiters();
     }
 
     /// Operators and upstreams write again what was lost.
-    pub fn write_again(&self, lost: LostWrites) {
-        self.shared.state.lock().write_again(lost);
+    pub fn replay_writes(&self, lost: LostWrites) {
+        self.shared.state.lock().replay_writes(lost);
         self.shared.changed.notify_waiters();
     }
 
--- a/crates/standins/src/users_platform/store_state.rs
+++ b/crates/standins/src/users_platform/store_state.rs
@@ -94,7 +94,7 @@
     }
 
     /// Operators and upstreams write again what was lost, the last write of each row.
-    pub(super) fn write_again(&mut self, lost: LostWrites) {
+    pub(super) fn replay_writes(&mut self, lost: LostWrites) {
         let last: BTreeMap<_, _> = lost.0.into_iter().map(|w| (w.key.clone(), w)).collect();
         last.into_values().for_each(|write| self.write(write));
     }
@@ -131,7 +131,7 @@
     }
 
     /// Drops the history: whoever follows must read anew.
-    pub(super) fn forget_history(&mut self) {
+    pub(super) fn clear_history(&mut self) {
         self.history_from = self.version + 1;
         self.rows.retain(|_, row| row.value.is_some());
     }
--- a/crates/standins/src/users_platform/upstream.rs
+++ b/crates/standins/src/users_platform/upstream.rs
@@ -88,7 +88,7 @@
 struct State {
     usual: Behaviour,
     /// What it says of itself in each answer.
-    says: HeaderMap,
+    response_headers: HeaderMap,
     next: VecDeque<Behaviour>,
     arrivals: Vec<Arrival>,
     runs: usize,
@@ -126,7 +126,7 @@
     pub async fn start(instance: &str, usual: Behaviour) -> io::Result<Self> {
         let state = State {
             usual,
-            says: HeaderMap::new(),
+            response_headers: HeaderMap::new(),
             next: VecDeque::new(),
             arrivals: Vec::new(),
             runs: 0,
@@ -177,7 +177,7 @@
     }
 
     /// Does as usual from now on, whatever was to come.
-    pub fn do_as_usual(&self) {
+    pub fn clear_queued_behaviours(&self) {
         self.process.state.lock().next.clear();
     }
 
@@ -185,14 +185,14 @@
     ///
     /// # Panics
     /// Panics when `value` cannot stand in a header.
-    pub fn says(&self, name: &'static str, value: &str) {
+    pub fn set_response_header(&self, name: &'static str, value: &str) {
         let value = HeaderValue::from_str(value).expect("a header's value");
-        self.process.state.lock().says.insert(name, value);
+        self.process.state.lock().response_headers.insert(name, value);
     }
 
     /// From now on it does not say that any more.
-    pub fn says_no_more(&self, name: &'static str) {
-        self.process.state.lock().says.remove(name);
+    pub fn remove_response_header(&self, name: &'static str) {
+        self.process.state.lock().response_headers.remove(name);
     }
 
     /// The requests that reached it.
@@ -307,7 +307,7 @@
     let process = process.upgrade().ok_or_else(|| io::Error::other("the upstream has ended"))?;
     let state = Arc::clone(&process.state);
     let mut response = answer(process, request).await?;
-    response.headers_mut().extend(state.lock().says.clone());
+    response.headers_mut().extend(state.lock().response_headers.clone());
     Ok(response)
 }
 
@@ -335,16 +335,16 @@
     drop(process);
     let id = arrival.header("request-id");
     let response = match behaviour {
-        Behaviour::Stream { events, pause, confidence, torn_after } => {
+        Behaviour::Stream { events, pause, confidence, truncate_after } => {
             let from = arrival.header("last-event-id").parse().unwrap_or(0) + 1;
-            let pace = Pace { idle_pause: pause, pause_a_request: Duration::ZERO };
-            let events = Events { next: from, last: events, pace, torn_after, running };
+            let pace = Pace { idle_pause: pause, pause_per_request: Duration::ZERO };
+            let events = Events { next: from, last: events, pace, truncate_after, running };
             return Ok(streamed(id, confidence, events).await);
         }
-        Behaviour::Batch { events, idle_pause, pause_a_request } => {
+        Behaviour::Batch { events, idle_pause, pause_per_request } => {
             let from = arrival.header("last-event-id").parse().unwrap_or(0) + 1;
-            let pace = Pace { idle_pause, pause_a_request };
-            let events = Events { next: from, last: events, pace, torn_after: None, running };
+            let pace = Pace { idle_pause, pause_per_request };
+            let events = Events { next: from, last: events, pace, truncate_after: None, running };
             return Ok(with_load(id, events).await);
         }
         Behaviour::Hang => pending().await,
@@ -380,7 +380,7 @@
     };
     arrival.is_run = !matches!(behaviour, Behaviour::NotExecuted | Behaviour::Misdirected);
     arrival.asked_for_rest =
-        behaviour == Behaviour::NotExecuted && state.says.contains_key(RETRY_AFTER);
+        behaviour == Behaviour::NotExecuted && state.response_headers.contains_key(RETRY_AFTER);
     state.runs += usize::from(arrival.is_run);
     state.arrivals.push(arrival.clone());
     behaviour
--- a/crates/standins/src/users_platform/upstream_behaviour.rs
+++ b/crates/standins/src/users_platform/upstream_behaviour.rs
@@ -26,7 +26,7 @@
         /// The model's opinion of the answer.
         confidence: Option<u8>,
         /// After this event, half of the next one is sent and the connection cut.
-        torn_after: Option<u64>,
+        truncate_after: Option<u64>,
     },
     /// Answers with an event stream, as an engine that works on all its requests in one
     /// batch: the more there are, the longer each event takes. Tells its load.
@@ -36,7 +36,7 @@
         /// The time before each event that does not depend on the load.
         idle_pause: Duration,
         /// The time that each request in the batch adds to it.
-        pause_a_request: Duration,
+        pause_per_request: Duration,
     },
     /// Runs the request and fails with its own 500.
     Fail,
@@ -64,6 +64,6 @@
 
     /// Answers with a stream of so many events, without pauses.
     pub fn stream(events: u64) -> Self {
-        Self::Stream { events, pause: Duration::ZERO, confidence: None, torn_after: None }
+        Self::Stream { events, pause: Duration::ZERO, confidence: None, truncate_after: None }
     }
 }
--- a/crates/standins/src/users_platform/upstream_reply.rs
+++ b/crates/standins/src/users_platform/upstream_reply.rs
@@ -64,12 +64,12 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Pace {
     pub(super) idle_pause: Duration,
-    pub(super) pause_a_request: Duration,
+    pub(super) pause_per_request: Duration,
 }
 
 impl Pace {
     fn pause(self, running: &Running) -> Duration {
-        self.idle_pause + self.pause_a_request * running.count()
+        self.idle_pause + self.pause_per_request * running.count()
     }
 }
 
@@ -78,7 +78,7 @@
     pub(super) next: u64,
     pub(super) last: u64,
     pub(super) pace: Pace,
-    pub(super) torn_after: Option<u64>,
+    pub(super) truncate_after: Option<u64>,
     pub(super) running: Running,
 }
 
@@ -90,7 +90,7 @@
         }
         tokio::time::sleep(self.pace.pause(&self.running)).await;
         let number = self.next;
-        match self.torn_after {
+        match self.truncate_after {
             Some(last) if number == last + 1 => {
                 self.next += 1;
                 Ok(Some((Frame::data(Bytes::from(format!("id: {number}\nda"))), self)))
--- a/tests/all/gateway/allowed_regions.rs
+++ b/tests/all/gateway/allowed_regions.rs
@@ -106,7 +106,7 @@
         events: 6,
         pause: Duration::ZERO,
         confidence: None,
-        torn_after: Some(3),
+        truncate_after: Some(3),
     };
     let behaviours = [broken, Behaviour::stream(6), Behaviour::stream(6)];
     let world = world(ENGINE, &behaviours, json!(["north"]), json!([])).await;
--- a/tests/all/gateway/callers.rs
+++ b/tests/all/gateway/callers.rs
@@ -154,7 +154,7 @@
         events: 1_000,
         pause: Duration::from_millis(20),
         confidence: None,
-        torn_after: None,
+        truncate_after: None,
     };
     let world = World::start(super::world::ENGINE, &[slow]).await;
     let request = world.stream("id-1").timeout(Duration::from_millis(300));
--- a/tests/all/gateway/callers_of_fleet.rs
+++ b/tests/all/gateway/callers_of_fleet.rs
@@ -82,7 +82,7 @@
             let behaviour = Behaviour::Answer { body: instance.clone(), after: WORK };
             let upstream = UpstreamStandin::start(&instance, behaviour).await;
             let upstream = upstream.expect("the upstream starts");
-            upstream.says(UPSTREAM, &instance);
+            upstream.set_response_header(UPSTREAM, &instance);
             let entry = upstream.entry(PLAIN, "zone-1", "v1", "ready");
             fleet.store.put("servers", &instance, entry);
             started.push(upstream);
--- a/tests/all/gateway/configuration.rs
+++ b/tests/all/gateway/configuration.rs
@@ -116,7 +116,7 @@
     let world = world().await;
     world.store.set_fault(Some(StoreFault::Status(503)));
     world.store.put("op", "config", config(8));
-    world.store.forget_history();
+    world.store.clear_history();
     world.store.set_fault(None);
     wait_for_version(&world, 8).await;
     assert!(world.store.calls().iter().filter(|call| call.contains("table=op&part=")).count() >= 2);
--- a/tests/all/gateway/draining_upstreams.rs
+++ b/tests/all/gateway/draining_upstreams.rs
@@ -50,7 +50,7 @@
         case!($name, async {
             let world = World::start(4, 3).await;
             for upstream in &world.upstreams[..$leaving] {
-                upstream.says(SERVER_LEAVING, "1");
+                upstream.set_response_header(SERVER_LEAVING, "1");
                 upstream.then(vec![$behaviour; 1_000]);
             }
             let got = world.ask_all_until(1, Instant::now() + CALLERS_RUN_FOR).await;
@@ -75,7 +75,7 @@
 // Draining upstreams serve callers during the grace period; then no upstream is left.
 case!(with_all_draining_callers_are_rejected_until_another_upstream_is_listed, async {
     let world = World::start(1, 2).await;
-    world.upstreams.iter().for_each(|upstream| upstream.says(SERVER_LEAVING, "1"));
+    world.upstreams.iter().for_each(|upstream| upstream.set_response_header(SERVER_LEAVING, "1"));
     wait_until("callers are rejected", async || {
         let got = world.ask_until(0, Instant::now() + WORK).await;
         assert!(got.iter().all(|got| matches!(got.status, 200 | 503)));
@@ -98,7 +98,7 @@
 // As after an outage of the store: the row still says ready when the upstream has begun to drain.
 case!(a_row_that_says_ready_does_not_revoke_the_announcement, async {
     let world = World::start(1, 2).await;
-    world.upstreams[0].says(SERVER_LEAVING, "1");
+    world.upstreams[0].set_response_header(SERVER_LEAVING, "1");
     world.ask_until(0, Instant::now() + CALLERS_RUN_FOR / 2).await;
     let arrived = world.upstreams[0].arrivals().len();
     for seq in 2..5 {
@@ -116,7 +116,7 @@
     ($name:ident, $value:expr) => {
         case!($name, async {
             let world = World::start(1, 1).await;
-            world.upstreams[0].says(SERVER_LEAVING, $value);
+            world.upstreams[0].set_response_header(SERVER_LEAVING, $value);
             let got = world.ask_until(0, Instant::now() + CALLERS_RUN_FOR / 2).await;
             assert_eq!(statuses(&got), [200]);
         });
--- a/tests/all/gateway/emptied_zones.rs
+++ b/tests/all/gateway/emptied_zones.rs
@@ -113,7 +113,7 @@
 /// A stream that breaks after half of its events, slow enough that a zone can be emptied meanwhile.
 fn slow_broken_stream() -> Behaviour {
     let pause = Duration::from_millis(300);
-    Behaviour::Stream { events: 6, pause, confidence: None, torn_after: Some(3) }
+    Behaviour::Stream { events: 6, pause, confidence: None, truncate_after: Some(3) }
 }
 
 case!(a_stream_is_not_continued_in_an_emptied_zone, async {
@@ -134,7 +134,7 @@
         events: 6,
         pause: Duration::from_millis(200),
         confidence: None,
-        torn_after: None,
+        truncate_after: None,
     };
     let world = world(ENGINE, &[slow, Behaviour::stream(6)]).await;
     empty(&world, 1).await;
@@ -177,7 +177,7 @@
     })
     .await;
     world.store.remove("op", "evacuate/zone-1");
-    world.store.forget_history();
+    world.store.clear_history();
     world.store.set_fault(None);
     wait_for(&world, 0, false).await;
     ask(&world, 10).await;
--- a/tests/all/gateway/fatal_requests.rs
+++ b/tests/all/gateway/fatal_requests.rs
@@ -64,7 +64,7 @@
 /// A stream of half a second, so that many run at the time of a crash.
 fn long_stream() -> Behaviour {
     let pause = Duration::from_millis(50);
-    Behaviour::Stream { events: 10, pause, confidence: None, torn_after: None }
+    Behaviour::Stream { events: 10, pause, confidence: None, truncate_after: None }
 }
 
 /// Gateways, and upstreams that some requests crash.
@@ -236,7 +236,7 @@
     })
     .await;
     for upstream in &world.upstreams {
-        upstream.do_as_usual();
+        upstream.clear_queued_behaviours();
         let mut row = upstream.entry(PLAIN, "zone-1", "v1", "draining");
         row["born"] = json!(1_760_000_000_000_u64);
         list.put("servers", upstream.instance(), row);
--- a/tests/all/gateway/going_away.rs
+++ b/tests/all/gateway/going_away.rs
@@ -16,19 +16,23 @@
     events: 1_000_000,
     pause: Duration::from_millis(20),
     confidence: None,
-    torn_after: None,
+    truncate_after: None,
 };
 
 /// A stream that breaks after its second event.
-const BROKEN: Behaviour =
-    Behaviour::Stream { events: 6, pause: Duration::ZERO, confidence: None, torn_after: Some(2) };
+const BROKEN: Behaviour = Behaviour::Stream {
+    events: 6,
+    pause: Duration::ZERO,
+    confidence: None,
+    truncate_after: Some(2),
+};
 
 /// A stream of low confidence.
 const POOR: Behaviour = Behaviour::Stream {
     events: 1_000_000,
     pause: Duration::from_millis(20),
     confidence: Some(10),
-    torn_after: None,
+    truncate_after: None,
 };
 
 async fn wait_for_in_progress(world: &World, requests: usize) {
--- a/tests/all/gateway/incarnations.rs
+++ b/tests/all/gateway/incarnations.rs
@@ -129,7 +129,7 @@
     world.upstreams[0].then(vec![Behaviour::Misdirected; 2]);
     let rejected = send(world.request(Method::POST, "/once/x", "id-1").body("x")).await;
     assert!(rejected.is_some(), "a response");
-    world.upstreams[0].do_as_usual();
+    world.upstreams[0].clear_queued_behaviours();
     world.store.put("servers", "i-0", born(2_000));
     wait_for_list(&world, |list| list.contains("i-0@2000") && list.contains("fitness=Well")).await;
     world.store.put("servers", "i-0", born(1_000));
--- a/tests/all/gateway/named_limits.rs
+++ b/tests/all/gateway/named_limits.rs
@@ -75,7 +75,8 @@
             let reported = Instant::now();
             let limited = 0..$limited;
             for upstream in limited.clone() {
-                world.upstreams[upstream].says(SERVER_LIMIT, &format!("{}", $limit_per_s));
+                world.upstreams[upstream]
+                    .set_response_header(SERVER_LIMIT, &format!("{}", $limit_per_s));
             }
             let got = world.ask_all_until(1, reported + CALLERS_RUN_FOR).await;
             for upstream in limited {
@@ -96,7 +97,7 @@
 impl World {
     /// Lets an upstream report a limit, and waits until all gateways know it.
     async fn report_to_all(&self, upstream: usize, limit: &str) {
-        self.upstreams[upstream].says(SERVER_LIMIT, limit);
+        self.upstreams[upstream].set_response_header(SERVER_LIMIT, limit);
         wait_until("a gateway knows the limit", async || {
             self.ask_until(0, Instant::now() + WORK).await;
             self.is_limited(limit, 1).await
@@ -146,7 +147,7 @@
 case!(a_gateway_without_requests_learns_the_end_of_a_limit_from_its_peers, async {
     let world = World::start(4, 1).await;
     world.report_to_all(0, "0.3").await;
-    world.upstreams[0].says_no_more(SERVER_LIMIT);
+    world.upstreams[0].remove_response_header(SERVER_LIMIT);
     let end = Instant::now() + Duration::from_secs(15);
     world.ask_all_until_unlimited(end).await;
     let world = &world;
@@ -213,7 +214,7 @@
     let world = World::start(1, 1).await;
     world.report_to_all(0, "100").await;
     world.wait_for_share().await;
-    world.upstreams[0].says_no_more(SERVER_LIMIT);
+    world.upstreams[0].remove_response_header(SERVER_LIMIT);
     world.upstreams[0].then(vec![Behaviour::NotExecuted; 3]);
     let rejected = world.ask_until(0, Instant::now() + Duration::from_millis(1)).await;
     assert_eq!(statuses(&rejected), [503]);
@@ -229,7 +230,7 @@
 // The process that responds at the address is another upstream, whose report concerns itself alone.
 case!(the_report_of_another_process_at_the_address_is_ignored, async {
     let world = World::start(1, 2).await;
-    world.upstreams[1].says(SERVER_LIMIT, "0.3");
+    world.upstreams[1].set_response_header(SERVER_LIMIT, "0.3");
     let elsewhere = world.upstreams[1].entry(PLAIN, "zone-1", "v1", "ready");
     world.fleet.store.put("servers", "i-2", elsewhere);
     wait_until("the other process has received a request for it", async || {
@@ -249,7 +250,7 @@
     ($name:ident, $reported:expr) => {
         case!($name, async {
             let world = World::start(1, 1).await;
-            world.upstreams[0].says(SERVER_LIMIT, $reported);
+            world.upstreams[0].set_response_header(SERVER_LIMIT, $reported);
             let got = world.ask_until(0, Instant::now() + Duration::from_millis(500)).await;
             assert_eq!(statuses(&got), [200]);
         });
--- a/tests/all/gateway/requested_backoffs.rs
+++ b/tests/all/gateway/requested_backoffs.rs
@@ -55,7 +55,7 @@
 impl World {
     /// Makes an upstream reject all requests from now on and request this back-off.
     fn reject_all(&self, upstream: usize, backoff: &str) {
-        self.upstreams[upstream].says(RETRY_AFTER, backoff);
+        self.upstreams[upstream].set_response_header(RETRY_AFTER, backoff);
         self.upstreams[upstream].then(vec![Behaviour::NotExecuted; 10_000]);
     }
 }
@@ -113,7 +113,7 @@
         world.reject_all(0, "3");
         world.ask_until(0, Instant::now() + WORK).await;
         // The response to the first request is no rejection.
-        world.upstreams[0].says_no_more(RETRY_AFTER);
+        world.upstreams[0].remove_response_header(RETRY_AFTER);
     };
     let (first, ()) = futures_util::future::join(first, then_rejected).await;
     assert_eq!(first[0].status, 200);
@@ -135,7 +135,7 @@
     let retry_after: f64 = rejected.header("retry-after").parse().expect("a number of seconds");
     assert!((1.5..=2.5).contains(&retry_after), "{retry_after}");
     let due = Instant::now() + Duration::from_secs_f64(retry_after);
-    world.upstreams.iter().for_each(UpstreamStandin::do_as_usual);
+    world.upstreams.iter().for_each(UpstreamStandin::clear_queued_behaviours);
     wait_until("the time to retry has come", async || Instant::now() >= due).await;
     assert_eq!(send(world.request(0).1).await.expect("a response").status, 200);
 });
@@ -145,7 +145,7 @@
     ($name:ident, $value:expr) => {
         case!($name, async {
             let world = World::start(1, 1).await;
-            world.upstreams[0].says(RETRY_AFTER, $value);
+            world.upstreams[0].set_response_header(RETRY_AFTER, $value);
             world.upstreams[0].then(vec![Behaviour::NotExecuted; 3]);
             let rejected = world.ask_until(0, Instant::now() + Duration::from_millis(1)).await;
             assert_eq!(rejected[0].status, 503);
--- a/tests/all/gateway/rollout_loads.rs
+++ b/tests/all/gateway/rollout_loads.rs
@@ -37,7 +37,7 @@
     Behaviour::Batch {
         events: 6,
         idle_pause: Duration::from_millis(20) * times,
-        pause_a_request: Duration::from_millis(2) * times,
+        pause_per_request: Duration::from_millis(2) * times,
     }
 }
 
--- a/tests/all/gateway/rollouts.rs
+++ b/tests/all/gateway/rollouts.rs
@@ -149,7 +149,7 @@
         events: 10,
         pause: Duration::from_millis(100),
         confidence: None,
-        torn_after: None,
+        truncate_after: None,
     };
     for upstream in &world.upstreams[..2] {
         upstream.then(std::iter::repeat_n(long.clone(), SESSIONS));
--- a/tests/all/gateway/stops.rs
+++ b/tests/all/gateway/stops.rs
@@ -29,7 +29,7 @@
         events,
         pause: Duration::from_millis(100),
         confidence: None,
-        torn_after: None,
+        truncate_after: None,
     }
 }
 
--- a/tests/all/gateway/store_returns.rs
+++ b/tests/all/gateway/store_returns.rs
@@ -102,7 +102,7 @@
     fleet.store.restore_from(fleet.store.copy());
     fleet.store.put("op", "config", config(2));
     fleet.wait_for_version(2).await;
-    fleet.store.tell_era(Some(0));
+    fleet.store.override_era(Some(0));
     fleet.store.put("op", "config", config(3));
     let calls = fleet.store.calls().len();
     wait_until("all have asked often", async || {
@@ -110,7 +110,7 @@
         fleet.store.calls().len() > calls + MANY
     })
     .await;
-    fleet.store.tell_era(None);
+    fleet.store.override_era(None);
     fleet.wait_for_version(3).await;
 });
 
@@ -128,7 +128,7 @@
 async fn come_back(
     world: &World,
     copy: StoreCopy,
-    write_again: impl Fn(&StoreStandin),
+    replay_writes: impl Fn(&StoreStandin),
     ask: impl AsyncFn(usize),
 ) {
     world.store.restore_from(copy);
@@ -136,7 +136,7 @@
     let mut is_written = false;
     for n in 0.. {
         if !is_written && began.elapsed() >= WRITTEN_AGAIN_AFTER {
-            write_again(&world.store);
+            replay_writes(&world.store);
             is_written = true;
         }
         if began.elapsed() >= SETTLED_AFTER {
@@ -174,8 +174,8 @@
 // One that came since the copy is used all the while, though its row is gone for two seconds.
 case!(an_upstream_that_came_since_is_not_given_up, async {
     let (world, copy, entry) = with_one_since_the_copy().await;
-    let write_again = |store: &StoreStandin| store.put("servers", "i-0", entry.clone());
-    come_back(&world, copy, write_again, async |n| ask_plain(&world, n).await).await;
+    let replay_writes = |store: &StoreStandin| store.put("servers", "i-0", entry.clone());
+    come_back(&world, copy, replay_writes, async |n| ask_plain(&world, n).await).await;
 });
 
 // One that has gone is given up, once it had time to be listed again.
@@ -227,12 +227,12 @@
     .await;
     let lost = world.upstreams[loser].runs();
     let copy = if is_order_in_copy { ordered } else { before };
-    let write_again = |_: &StoreStandin| {
+    let replay_writes = |_: &StoreStandin| {
         if !is_order_in_copy {
             order(&world, duration_s);
         }
     };
-    come_back(&world, copy, write_again, async |n| ask_stream(&world, n).await).await;
+    come_back(&world, copy, replay_writes, async |n| ask_stream(&world, n).await).await;
     assert_eq!(world.upstreams[loser].runs(), lost);
     // Operators are told again.
     wait_for_status(&world, end).await;
@@ -275,8 +275,8 @@
     wait_for_rollout_record(&world).await;
     let record = || world.store.get("stallhoist-rollouts", ENGINE);
     let known = record();
-    let write_again = |_: &StoreStandin| order(&world, 600.0);
-    come_back(&world, before, write_again, async |n| ask_stream(&world, n).await).await;
+    let replay_writes = |_: &StoreStandin| order(&world, 600.0);
+    come_back(&world, before, replay_writes, async |n| ask_stream(&world, n).await).await;
     wait_until("the record is back", async || record() == known).await;
 });
 
--- a/tests/all/gateway/streams.rs
+++ b/tests/all/gateway/streams.rs
@@ -14,12 +14,12 @@
 
 const EVENTS: u64 = 6;
 
-fn torn_after(last: u64) -> Behaviour {
+fn truncate_after(last: u64) -> Behaviour {
     Behaviour::Stream {
         events: EVENTS,
         pause: Duration::ZERO,
         confidence: None,
-        torn_after: Some(last),
+        truncate_after: Some(last),
     }
 }
 
@@ -28,7 +28,7 @@
         events: EVENTS,
         pause: Duration::ZERO,
         confidence: Some(confidence),
-        torn_after: None,
+        truncate_after: None,
     }
 }
 
@@ -46,9 +46,9 @@
 }
 
 complete_stream!(without_a_fault, Behaviour::stream(EVENTS));
-complete_stream!(torn_inside_the_first_event, torn_after(0));
-complete_stream!(torn_inside_the_third_event, torn_after(2));
-complete_stream!(torn_inside_the_last_event, torn_after(EVENTS - 1));
+complete_stream!(torn_inside_the_first_event, truncate_after(0));
+complete_stream!(torn_inside_the_third_event, truncate_after(2));
+complete_stream!(torn_inside_the_last_event, truncate_after(EVENTS - 1));
 complete_stream!(failed_before_the_first_event, Behaviour::Fail);
 complete_stream!(refused_before_the_first_event, Behaviour::NotExecuted);
 complete_stream!(cut_before_the_reply, Behaviour::CutBeforeReply);
@@ -57,7 +57,7 @@
 
 case!(a_stream_resumes_after_the_last_complete_event, async {
     let world = World::start(ENGINE, &[Behaviour::stream(EVENTS)]).await;
-    world.upstreams[0].then([torn_after(4)]);
+    world.upstreams[0].then([truncate_after(4)]);
     send(world.stream("id-1")).await.expect("an answer");
     let arrivals = world.upstreams[0].arrivals();
     assert_eq!(arrivals.len(), 2);
@@ -74,7 +74,7 @@
 // The stream would have to restart, but the caller has received a part of it already.
 case!(a_stream_that_may_not_be_resumed_breaks_visibly, async {
     let world = World::start(ENGINE, &[Behaviour::stream(EVENTS)]).await;
-    world.upstreams[0].then([torn_after(2)]);
+    world.upstreams[0].then([truncate_after(2)]);
     let request = world.request(Method::POST, "/once-stream/x", "id-1").body("a prompt");
     let answer = send(request).await.expect("an answer");
     assert_eq!((answer.status, answer.is_whole), (200, false));
@@ -83,7 +83,7 @@
 });
 
 case!(a_stream_that_breaks_everywhere_breaks_visibly, async {
-    let world = World::start(ENGINE, &[torn_after(1)]).await;
+    let world = World::start(ENGINE, &[truncate_after(1)]).await;
     let answer = send(world.stream("id-1")).await.expect("an answer");
     assert!(!answer.is_whole);
     assert_eq!(world.runs(), 3, "as many attempts as the route allows");
@@ -95,7 +95,7 @@
         events: EVENTS,
         pause: Duration::from_millis(2_700),
         confidence: None,
-        torn_after: None,
+        truncate_after: None,
     };
     let mut config = super::world::config(2);
     config["routes"][2]["target_latency_ms"] = serde_json::json!(3_000);
--- a/tests/all/promises/billing.rs
+++ b/tests/all/promises/billing.rs
@@ -105,7 +105,7 @@
     let fleet = Fleet::start(Plan::default()).await;
     fleet.platform.set_faults(Faults { lose_write_replies: 5, ..Faults::default() });
     let completed = serve(&fleet, 0).await;
-    wait_until("the replies are lost", || async { fleet.platform.replies_still_to_lose() == 0 })
+    wait_until("the replies are lost", || async { fleet.platform.remaining_lost_replies() == 0 })
         .await;
     assert_billed_once_each(&fleet, &completed).await;
 });
--- a/tests/all/soak/faults.rs
+++ b/tests/all/soak/faults.rs
@@ -158,7 +158,7 @@
             StoreFaultKind::Silent => StoreFault::Silent,
             StoreFaultKind::LostAnswers => StoreFault::LoseWriteAnswers,
             StoreFaultKind::Lapse => return self.lapse(lasts),
-            StoreFaultKind::HistoryGone => return self.store.forget_history(),
+            StoreFaultKind::HistoryGone => return self.store.clear_history(),
         };
         self.store_faults.push(Period::from_now(lasts + LISTED_AFTER));
         self.store.set_fault(Some(fault));
@@ -174,7 +174,7 @@
         let store = Arc::clone(&self.store);
         self.recover_after(lasts, async move {
             let lost = store.restore_from(copy);
-            store.write_again(lost);
+            store.replay_writes(lost);
         });
     }
 
--- a/tests/all/soak/fleet.rs
+++ b/tests/all/soak/fleet.rs
@@ -143,7 +143,7 @@
             self.supervise(supervisor);
         }
         let upstreams = self.upstreams.lock();
-        upstreams.iter().for_each(|upstream| upstream.standin.do_as_usual());
+        upstreams.iter().for_each(|upstream| upstream.standin.clear_queued_behaviours());
         upstream::list_all(&self.store, &upstreams);
     }
 }
--- a/tests/all/soak/fragile.rs
+++ b/tests/all/soak/fragile.rs
@@ -42,7 +42,7 @@
         events: super::upstream::EVENTS,
         pause: Duration::from_millis(20),
         confidence: None,
-        torn_after: None,
+        truncate_after: None,
     };
     let rule = CrashRule { after: Duration::from_millis(30), ..CrashRule::of(FATAL) };
     let mut upstreams = Vec::new();
--- a/tests/all/soak/upstream.rs
+++ b/tests/all/soak/upstream.rs
@@ -50,7 +50,7 @@
         let standin = UpstreamStandin::start(&format!("i-{number}"), usual).await;
         let standin = standin.expect("an upstream starts");
         let proxy = FaultProxy::start(standin.addr()).await.expect("a proxy starts");
-        standin.says(UPSTREAM, standin.instance());
+        standin.set_response_header(UPSTREAM, standin.instance());
         let zone = format!("zone-{}", number % 2);
         let cold = Vec::new();
         let said = Said::default();
@@ -134,6 +134,6 @@
     }
 }
 
-fn stream(confidence: Option<u8>, torn_after: Option<u64>) -> Behaviour {
-    Behaviour::Stream { events: EVENTS, pause: EVENT_PAUSE, confidence, torn_after }
+fn stream(confidence: Option<u8>, truncate_after: Option<u64>) -> Behaviour {
+    Behaviour::Stream { events: EVENTS, pause: EVENT_PAUSE, confidence, truncate_after }
 }
--- a/tests/all/soak/words.rs
+++ b/tests/all/soak/words.rs
@@ -89,7 +89,7 @@
         }
         let mut upstreams = self.upstreams.lock();
         upstreams[number].said.leaving = true;
-        upstreams[number].standin.says(SERVER_LEAVING, "1");
+        upstreams[number].standin.set_response_header(SERVER_LEAVING, "1");
         drop(upstreams);
         let (upstreams, store) = (Arc::clone(&self.upstreams), Arc::clone(&self.store));
         self.recover_after(lasts, async move {
@@ -108,7 +108,7 @@
         for (number, upstream) in upstreams.iter_mut().enumerate() {
             if upstream.service == service {
                 upstream.said.rests.push(Period::from_now(lasts + REST));
-                upstream.standin.says(RETRY_AFTER, &rest);
+                upstream.standin.set_response_header(RETRY_AFTER, &rest);
                 upstream.standin.then(vec![Behaviour::NotExecuted; REFUSED]);
                 resting.push(number);
             }
@@ -118,8 +118,8 @@
         self.recover_after(lasts, async move {
             let upstreams = upstreams.lock();
             for number in resting {
-                upstreams[number].standin.do_as_usual();
-                upstreams[number].standin.says_no_more(RETRY_AFTER);
+                upstreams[number].standin.clear_queued_behaviours();
+                upstreams[number].standin.remove_response_header(RETRY_AFTER);
             }
         });
     }
@@ -130,11 +130,11 @@
             return;
         }
         upstreams[number].said.limits.push((Period::from_now(lasts), per_s));
-        upstreams[number].standin.says(SERVER_LIMIT, &per_s.to_string());
+        upstreams[number].standin.set_response_header(SERVER_LIMIT, &per_s.to_string());
         drop(upstreams);
         let upstreams = Arc::clone(&self.upstreams);
         self.recover_after(lasts, async move {
-            upstreams.lock()[number].standin.says_no_more(SERVER_LIMIT);
+            upstreams.lock()[number].standin.remove_response_header(SERVER_LIMIT);
         });
     }
 }
