--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -19,7 +19,7 @@
 use stallhoist_measure::FakeUpstream;
 use stallhoist_measure::Report;
 use stallhoist_measure::Spread;
-use stallhoist_measure::StepEnd;
+use stallhoist_measure::StepResult;
 use stallhoist_measure::WorkloadShape;
 use stallhoist_measure::percentile;
 use stallhoist_policy::admission::AdmissionConfig;
@@ -119,11 +119,11 @@
         }
     }
 
-    fn run(mut self, requests: &[FakeRequest], capacity: f64, lasts: Duration) -> Figures {
+    fn run(mut self, requests: &[FakeRequest], capacity: f64, duration: Duration) -> Figures {
         for (id, request) in requests.iter().enumerate() {
             self.queue.add(request.arrives, Event::Arrive(id));
         }
-        let end = MonoTime::default().after(lasts);
+        let end = MonoTime::default().after(duration);
         while let Some((now, event)) = self.queue.pop() {
             match event {
                 Event::Arrive(id) => self.arrive(now, id, &requests[id]),
@@ -136,7 +136,7 @@
                     self.take(now, step);
                 }
                 Event::Due => {
-                    let mut step = StepEnd::default();
+                    let mut step = StepResult::default();
                     self.upstream.pump(now, &mut step);
                     self.take(now, step);
                 }
@@ -178,7 +178,7 @@
         }
     }
 
-    fn take(&mut self, now: MonoTime, step: StepEnd) {
+    fn take(&mut self, now: MonoTime, step: StepResult) {
         for id in step.first_tokens {
             self.fates[id].first_token = Some(now);
         }
@@ -232,7 +232,7 @@
 }
 
 fn shape(rate_per_s: f64) -> WorkloadShape {
-    WorkloadShape { rate_per_s, lasts: Duration::from_secs(180), ..WorkloadShape::default() }
+    WorkloadShape { rate_per_s, duration: Duration::from_secs(180), ..WorkloadShape::default() }
 }
 
 /// What the engine completes with work always waiting, in requests a second.
@@ -244,7 +244,7 @@
         run.queue.add(request.arrives, Event::Arrive(id));
     }
     let mut finished = 0.0;
-    let end = MonoTime::default().after(shape.lasts);
+    let end = MonoTime::default().after(shape.duration);
     while let Some((now, event)) = run.queue.pop() {
         if now > end {
             break;
@@ -263,7 +263,7 @@
             run.queue.add(ends, Event::StepEnd);
         }
     }
-    finished / (shape.lasts - WARM_UP).as_secs_f64()
+    finished / (shape.duration - WARM_UP).as_secs_f64()
 }
 
 fn main() {
@@ -285,7 +285,11 @@
                 .map(|seed| {
                     let shape = shape(capacities[seed] * load);
                     let requests = shape.generate(&mut StdRng::seed_from_u64(*seed));
-                    Run::new(policy, &requests, *seed).run(&requests, capacities[seed], shape.lasts)
+                    Run::new(policy, &requests, *seed).run(
+                        &requests,
+                        capacities[seed],
+                        shape.duration,
+                    )
                 })
                 .collect();
             let spread = |figure: fn(&Figures) -> f64| {
--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -368,7 +368,7 @@
             slope.unit.to_owned(),
             format!("{:.3}", fit.slope),
             format!("{:.0}", fit.base),
-            format!("{:.1} %", fit.worst_residual * 100.0),
+            format!("{:.1} %", fit.max_relative_residual * 100.0),
             points.collect::<Vec<_>>().join(" "),
         ]);
     }
--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -87,7 +87,7 @@
 
 fn scenarios() -> Vec<Scenario> {
     let shape = |rate_per_s| WorkloadShape { rate_per_s, ..WorkloadShape::default() };
-    let mixed = WorkloadShape { long_part: 0.2, ..shape(55.0) };
+    let mixed = WorkloadShape { long_prompt_ratio: 0.2, ..shape(55.0) };
     let shared = WorkloadShape { shared_prefixes: 200, prompt_tokens: 150, ..shape(80.0) };
     vec![
         Scenario { name: "Lakeshore, 20 engines", shape: shape(80.0), ..Scenario::default() },
@@ -159,8 +159,8 @@
             ..AdmissionConfig::default()
         };
         let upstream = |number: usize| {
-            let slowness = if number == 0 { scenario.slow_engine } else { 1.0 };
-            let times = EngineTimes { slowness, ..EngineTimes::default() };
+            let slowdown = if number == 0 { scenario.slow_engine } else { 1.0 };
+            let times = EngineTimes { slowdown, ..EngineTimes::default() };
             FakeUpstream::new(times, config.clone())
                 .with_cache_events(scenario.event_lag, scenario.lose_event_every)
         };
@@ -254,7 +254,7 @@
             if upstream.is_frozen {
                 return (Duration::MAX, usize::MAX, at);
             }
-            (upstream.true_first_token(now, request), upstream.load(), at)
+            (upstream.oracle_first_token_time(now, request), upstream.load(), at)
         };
         let best = self.upstreams.iter().enumerate().map(cost).min();
         best.map_or(0, |(.., at)| at)
@@ -270,7 +270,7 @@
             queue.add(MonoTime::default().after(from), Event::Freeze(true));
             queue.add(MonoTime::default().after(until), Event::Freeze(false));
         }
-        let end = MonoTime::default().after(scenario.shape.lasts * 3);
+        let end = MonoTime::default().after(scenario.shape.duration * 3);
         let mut first_tokens = vec![None; requests.len()];
         while let Some((now, event)) = queue.pop() {
             match event {
@@ -305,7 +305,7 @@
                 }
             }
         }
-        let lost = scenario.shape.lasts.as_secs_f64();
+        let lost = scenario.shape.duration.as_secs_f64();
         let mut times: Vec<f64> = first_tokens.into_iter().map(|t| t.unwrap_or(lost)).collect();
         Figures {
             p95_s: percentile(&mut times, 0.95),
--- a/crates/measure/src/fake_engine.rs
+++ b/crates/measure/src/fake_engine.rs
@@ -15,7 +15,7 @@
     /// The most prompt tokens taken in with one step.
     pub prefill_tokens_per_step: u64,
     /// All times are multiplied by this.
-    pub slowness: f64,
+    pub slowdown: f64,
 }
 
 impl Default for EngineTimes {
@@ -25,7 +25,7 @@
             step_per_request: Duration::from_micros(600),
             prefill_per_token: Duration::from_micros(100),
             prefill_tokens_per_step: 128,
-            slowness: 1.0,
+            slowdown: 1.0,
         }
     }
 }
@@ -37,6 +37,6 @@
         let prefill = u32::try_from(prefill_tokens).unwrap_or(u32::MAX);
         let time =
             self.step_base + self.step_per_request * batch + self.prefill_per_token * prefill;
-        time.mul_f64(self.slowness)
+        time.mul_f64(self.slowdown)
     }
 }
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -22,6 +22,6 @@
 pub use spread::Spread;
 pub use spread::percentile;
 pub use upstream::FakeUpstream;
-pub use upstream::StepEnd;
+pub use upstream::StepResult;
 pub use workload::FakeRequest;
 pub use workload::WorkloadShape;
--- a/crates/measure/src/line_fit.rs
+++ b/crates/measure/src/line_fit.rs
@@ -8,7 +8,7 @@
     /// The growth for each unit.
     pub slope: f64,
     /// The largest distance of a point from the line, as a part of the largest value.
-    pub worst_residual: f64,
+    pub max_relative_residual: f64,
 }
 
 impl LineFit {
@@ -28,7 +28,7 @@
         let largest = points.iter().map(|(_, y)| y.abs()).fold(f64::EPSILON, f64::max);
         let distance = |(x, y): &(f64, f64)| (y - (base + slope * x)).abs();
         let worst = points.iter().map(distance).fold(0.0, f64::max);
-        Self { base, slope, worst_residual: worst / largest }
+        Self { base, slope, max_relative_residual: worst / largest }
     }
 
     /// The line's value at `x`.
--- a/crates/measure/src/upstream.rs
+++ b/crates/measure/src/upstream.rs
@@ -28,7 +28,7 @@
 
 /// What a step brought.
 #[derive(Debug, Default)]
-pub struct StepEnd {
+pub struct StepResult {
     /// Requests whose first token came.
     pub first_tokens: Vec<usize>,
     /// Requests that ended.
@@ -118,7 +118,7 @@
 
     /// The true time to the first token if the request were offered now, which only an
     /// oracle can know; queued work counts with its prefill alone.
-    pub fn true_first_token(&self, now: MonoTime, request: &FakeRequest) -> Duration {
+    pub fn oracle_first_token_time(&self, now: MonoTime, request: &FakeRequest) -> Duration {
         let cached = request.blocks.iter().take_while(|b| self.cached.contains(b)).count() as u64;
         let own = request.prompt_tokens - cached * self.block_tokens;
         let running = self.active.iter().chain(&self.joining);
@@ -179,8 +179,8 @@
     }
 
     /// Ends the step under way.
-    pub fn end_step(&mut self, now: MonoTime) -> StepEnd {
-        let mut end = StepEnd::default();
+    pub fn end_step(&mut self, now: MonoTime) -> StepResult {
+        let mut end = StepResult::default();
         self.step_ends = None;
         if let Some(began) = self.step_began.take() {
             end.took = now.since(began);
@@ -210,7 +210,7 @@
     }
 
     /// Starts and refuses waiting work whose time has come.
-    pub fn pump(&mut self, now: MonoTime, end: &mut StepEnd) {
+    pub fn pump(&mut self, now: MonoTime, end: &mut StepResult) {
         for next in self.admission.next(now) {
             match next {
                 QueueDecision::Start(id) => {
--- a/crates/measure/src/workload.rs
+++ b/crates/measure/src/workload.rs
@@ -25,13 +25,13 @@
     /// Requests a second.
     pub rate_per_s: f64,
     /// How long they come.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Tokens of a short prompt, in the mean.
     pub prompt_tokens: u64,
     /// Tokens of a long prompt, in the mean.
     pub long_prompt_tokens: u64,
     /// The part of long prompts.
-    pub long_part: f64,
+    pub long_prompt_ratio: f64,
     /// Tokens of an answer, in the mean.
     pub completion_tokens: u64,
     /// Prefixes that requests share; 0 shares none.
@@ -46,10 +46,10 @@
     fn default() -> Self {
         Self {
             rate_per_s: 10.0,
-            lasts: Duration::from_secs(120),
+            duration: Duration::from_secs(120),
             prompt_tokens: 500,
             long_prompt_tokens: 4_000,
-            long_part: 0.0,
+            long_prompt_ratio: 0.0,
             completion_tokens: 120,
             shared_prefixes: 0,
             prefix_tokens: 1_024,
@@ -66,7 +66,7 @@
         let mut unique = 0;
         loop {
             at = at.after(Duration::from_secs_f64(exponential(rng) / self.rate_per_s));
-            if at.since(MonoTime::default()) > self.lasts {
+            if at.since(MonoTime::default()) > self.duration {
                 return requests;
             }
             unique += 1;
@@ -75,7 +75,7 @@
     }
 
     fn request(&self, arrives: MonoTime, unique: u64, rng: &mut impl Rng) -> FakeRequest {
-        let is_long = rng.random_bool(self.long_part);
+        let is_long = rng.random_bool(self.long_prompt_ratio);
         let mean = if is_long { self.long_prompt_tokens } else { self.prompt_tokens };
         let own_tokens = around(mean, rng);
         let mut blocks = Vec::new();
