--- a/tests/all/gateway/store_returns.rs
+++ b/tests/all/gateway/store_returns.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 use serde_json::json;
 use stallhoist_standins::users_platform::Behaviour;
-use stallhoist_standins::users_platform::EndRule;
+use stallhoist_standins::users_platform::CrashRule;
 use stallhoist_standins::users_platform::StoreCopy;
 use stallhoist_standins::users_platform::StoreStandin;
 
@@ -102,7 +102,7 @@
     fleet.store.restore_from(fleet.store.copy());
     fleet.store.put("op", "config", config(2));
     fleet.wait_for_version(2).await;
-    fleet.store.tell_era(Some(0));
+    fleet.store.override_era(Some(0));
     fleet.store.put("op", "config", config(3));
     let calls = fleet.store.calls().len();
     wait_until("all have polled often", async || {
@@ -110,7 +110,7 @@
         fleet.store.calls().len() > calls + MANY
     })
     .await;
-    fleet.store.tell_era(None);
+    fleet.store.override_era(None);
     fleet.wait_for_version(3).await;
 });
 
@@ -128,7 +128,7 @@
 async fn restore(
     world: &World,
     copy: StoreCopy,
-    write_again: impl Fn(&StoreStandin),
+    replay_writes: impl Fn(&StoreStandin),
     ask: impl AsyncFn(usize),
 ) {
     world.store.restore_from(copy);
@@ -136,7 +136,7 @@
     let mut is_written = false;
     for n in 0.. {
         if !is_written && began.elapsed() >= WRITTEN_AGAIN_AFTER {
-            write_again(&world.store);
+            replay_writes(&world.store);
             is_written = true;
         }
         if began.elapsed() >= SETTLED_AFTER {
@@ -174,8 +174,8 @@
 // It stays in use although its row is gone for two seconds.
 case!(an_upstream_listed_after_the_copy_is_kept, async {
     let (world, copy, entry) = with_one_listed_after_the_copy().await;
-    let write_again = |store: &StoreStandin| store.put("servers", "i-0", entry.clone());
-    restore(&world, copy, write_again, async |n| ask_plain(&world, n).await).await;
+    let replay_writes = |store: &StoreStandin| store.put("servers", "i-0", entry.clone());
+    restore(&world, copy, replay_writes, async |n| ask_plain(&world, n).await).await;
 });
 
 // An upstream that has gone is dropped once it had time to be listed again.
@@ -227,12 +227,12 @@
     .await;
     let lost = world.upstreams[loser].runs();
     let copy = if is_order_in_copy { ordered } else { before };
-    let write_again = |_: &StoreStandin| {
+    let replay_writes = |_: &StoreStandin| {
         if !is_order_in_copy {
             order(&world, duration_s);
         }
     };
-    restore(&world, copy, write_again, async |n| ask_stream(&world, n).await).await;
+    restore(&world, copy, replay_writes, async |n| ask_stream(&world, n).await).await;
     assert_eq!(world.upstreams[loser].runs(), lost);
     // Operators see the outcome again.
     wait_for_status(&world, end).await;
@@ -275,15 +275,15 @@
     wait_for_rollout_record(&world).await;
     let record = || world.store.get("stallhoist-rollouts", ENGINE);
     let known = record();
-    let write_again = |_: &StoreStandin| order(&world, 600.0);
-    restore(&world, before, write_again, async |n| ask_stream(&world, n).await).await;
+    let replay_writes = |_: &StoreStandin| order(&world, 600.0);
+    restore(&world, before, replay_writes, async |n| ask_stream(&world, n).await).await;
     wait_until("the record is back", async || record() == known).await;
 });
 
 case!(a_request_quarantined_after_the_copy_stays_so, async {
     let world = World::start(PLAIN, &vec![Behaviour::answer("done"); 6]).await;
     for upstream in &world.upstreams {
-        upstream.ends_on(EndRule::of(FATAL), world.store.writer(), PLAIN);
+        upstream.crash_on(CrashRule::of(FATAL), world.store.writer(), PLAIN);
     }
     wait_for_listed(&world, 6).await;
     let copy = world.store.copy();
