--- a/crates/entry/src/background.rs
+++ b/crates/entry/src/background.rs
@@ -1,5 +1,5 @@
-//! The background tasks of an entry: heartbeats, polling of the host list and of the table's head, writing bill
-//! records to the ledger, and releasing claims.
+//! The background tasks of an entry: heartbeats, polling of the host list and of the table's head,
+//! writing bill records to the ledger, and releasing claims.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/entry/src/billing.rs
+++ b/crates/entry/src/billing.rs
@@ -1,8 +1,9 @@
 //! Keeps bill records until they are written to the ledger.
 //!
-//! A record is held by the serving sidecar, then by the entry, and by a sidecar in another availability zone, before
-//! the end of the response is sent to the caller. The entry writes batches to the ledger and then tells the holders
-//! to drop their copies. Sidecars send the records of an entry that is gone to another entry as orphans.
+//! A record is held by the serving sidecar, then by the entry, and by a sidecar in another availability
+//! zone, before the end of the response is sent to the caller. The entry writes batches to the ledger
+//! and then tells the holders to drop their copies. Sidecars send the records of an entry that is gone
+//! to another entry as orphans.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Removes records that were written to the ledger. Returns the attempts to be dropped by each holder.
+    /// Removes records that were written to the ledger. Returns the attempts to be dropped by each
+    /// holder.
     fn settle(&mut self, attempts: &[AttemptId]) -> HashMap<HostId, Vec<AttemptId>> {
         self.held.settle(attempts);
         let mut settled: HashMap<HostId, Vec<AttemptId>> = HashMap::new();
@@ -56,7 +58,8 @@
             for host in holders {
                 settled.entry(host).or_default().push(*attempt);
             }
-            // The record of a later attempt may have arrived meanwhile. It has at least the same holders.
+            // The record of a later attempt may have arrived meanwhile. It has at least the same
+            // holders.
             if !self.held.holds(&attempt.request) {
                 self.holders.remove(&attempt.request);
             }
@@ -65,8 +68,8 @@
     }
 }
 
-/// Stores the record of a complete response, and waits until a neighbour holds a copy or the timeout passes. Must
-/// complete before the end of the response is sent.
+/// Stores the record of a complete response, and waits until a neighbour holds a copy or the timeout
+/// passes. Must complete before the end of the response is sent.
 pub(crate) async fn hold_record(shared: &Shared, record: BillRecord, served_by: &HostId) {
     let request = record.request;
     shared.bills.lock().add(shared.now(), record.clone(), served_by);
@@ -84,8 +87,8 @@
     }
 }
 
-/// A random connected sidecar in another availability zone than the one that served, or else any other sidecar, so that
-/// one failure does not lose both copies.
+/// A random connected sidecar in another availability zone than the one that served, or else any other
+/// sidecar, so that one failure does not lose both copies.
 fn neighbour(shared: &Shared, served_by: &HostId) -> Option<(HostId, Arc<Link>)> {
     let links = shared.links.all();
     let served_in = links.iter().find(|(host, _)| host == served_by).and_then(|(_, l)| l.zone());
@@ -116,8 +119,8 @@
     Ok(())
 }
 
-/// Writes the held records to the ledger until none is left or a write fails. A batch whose write failed is returned in
-/// `unconfirmed` and retried by the next call, since it must keep its identity.
+/// Writes the held records to the ledger until none is left or a write fails. A batch whose write
+/// failed is returned in `unconfirmed` and retried by the next call, since it must keep its identity.
 pub(crate) async fn flush(shared: &Shared, unconfirmed: &mut Option<LedgerBatch>) {
     loop {
         let batch = unconfirmed.take().unwrap_or_else(|| next_batch(shared));
--- a/crates/entry/src/callers/auth.rs
+++ b/crates/entry/src/callers/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls: the bearer key names the workspace.
+//! Authentication of callers: the bearer key identifies the workspace.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 
 use crate::shared::Shared;
 
-/// A caller whose key was found in the table.
+/// A caller whose bearer key is in the table.
 #[derive(Debug, Clone)]
 pub(crate) struct Caller {
     pub(crate) workspace: WorkspaceName,
@@ -27,7 +27,7 @@
             return Outcome::Error((Status::InternalServerError, ()));
         };
         let Some(table) = shared.table.current() else {
-            // Without a table nobody is known; that is not the caller's fault.
+            // Without a table no key can be checked, so the key must not be reported as wrong.
             return Outcome::Error((Status::ServiceUnavailable, ()));
         };
         let digest = bearer_key(request).map(KeyDigest::of);
--- a/crates/entry/src/callers/call.rs
+++ b/crates/entry/src/callers/call.rs
@@ -1,5 +1,5 @@
-//! What chat completions and services have in common: reading, permission, sessions,
-//! claims, deadlines.
+//! The steps that chat completions and service calls share: body, deadline, session, repeatability and
+//! claim.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,39 +22,48 @@
 use crate::session::SessionToken;
 use crate::shared::Shared;
 
-/// When to come back while no table is in force.
+/// The retry delay given to the caller while no table is active.
 const RETRY_AFTER_TABLE: Duration = Duration::from_secs(1);
-/// When to come back while the store does not answer.
+/// The retry delay given to the caller while the store does not respond.
 const RETRY_AFTER_STORE: Duration = Duration::from_secs(2);
 
-/// Reads a body whole, within the bound.
+/// Reads the whole body.
+///
+/// # Errors
+/// Fails if the body exceeds the limit of the settings or its connection breaks.
 pub(crate) async fn read_body(shared: &Shared, data: Data<'_>) -> Result<Vec<u8>, Problem> {
-    let bound = shared.settings.callers.max_body_bytes;
-    let read = data.open(bound.bytes()).into_bytes().await;
+    let max_bytes = shared.settings.callers.max_body_bytes;
+    let read = data.open(max_bytes.bytes()).into_bytes().await;
     let body = read.map_err(|error| {
-        Problem::not_routed(400, "body-broken-off", format!("the body broke off: {error}"))
+        Problem::not_routed(400, "body-broken-off", format!("the body is incomplete: {error}"))
     })?;
     if !body.is_complete() {
-        let detail = format!("the body has more than {bound} bytes");
+        let detail = format!("the body has more than {max_bytes} bytes");
         return Err(Problem::not_routed(413, "body-too-large", detail));
     }
     Ok(body.into_inner())
 }
 
-/// Knows the same request when it comes again: same workspace, target and body.
+/// The key that identifies a request when it is retried: a hash of workspace, target and body.
 pub(crate) fn work_key(workspace: &WorkspaceName, target: &Target, body: &[u8]) -> u64 {
     let seed = xxh3_64_with_seed(workspace.as_str().as_bytes(), 0);
     let seed = xxh3_64_with_seed(target.to_string().as_bytes(), seed);
     xxh3_64_with_seed(body, seed)
 }
 
-/// The table in force.
+/// The active table.
+///
+/// # Errors
+/// Fails while there is none.
 pub(crate) fn table(shared: &Shared) -> Result<Arc<Table>, Problem> {
     let missing = || Problem::not_run(NotRunReason::NoTable, RETRY_AFTER_TABLE);
     shared.table.current().ok_or_else(missing)
 }
 
-/// The deadline that the caller names, within the bound, or the default one.
+/// The deadline that the caller set, or the default.
+///
+/// # Errors
+/// Fails if the caller's deadline is zero or above the limit of the settings.
 pub(crate) fn deadline(
     shared: &Shared,
     now: MonoTime,
@@ -69,7 +78,10 @@
     Ok(now.after(Duration::from_millis(deadline_ms)))
 }
 
-/// The session that the request goes on with, if any.
+/// The session that the request continues, if any.
+///
+/// # Errors
+/// Fails if the session token is invalid.
 pub(crate) fn session(
     shared: &Shared,
     headers: &CallHeaders,
@@ -78,13 +90,13 @@
     let Some(text) = &headers.session else {
         return Ok(None);
     };
-    let checked = shared.session_keys.check(text, workspace);
-    checked
+    let token = shared.session_keys.check(text, workspace);
+    token
         .map(Some)
         .map_err(|error| Problem::bad_header(super::headers::SESSION, &error.to_string()))
 }
 
-/// Whether the request may be repeated: not when the caller or the row says so.
+/// Whether the request may run more than once: only if neither the caller nor the table row forbids it.
 pub(crate) fn is_repeatable(
     table: &Table,
     headers: &CallHeaders,
@@ -95,8 +107,11 @@
     by_row && headers.repeatable.unwrap_or(true)
 }
 
-/// Claims the key of a request that must not be repeated; none when there is nothing
-/// to claim.
+/// Claims the idempotency key of a request that must not be repeated. Returns `None` if the request is
+/// repeatable or has no key.
+///
+/// # Errors
+/// Fails if another request holds the key or the store does not respond.
 pub(crate) async fn claim(shared: &Shared, order: &Order) -> Result<Option<PendingClaim>, Problem> {
     let Some(key) = &order.idempotency_key else {
         return Ok(None);
--- a/crates/entry/src/callers/cascade.rs
+++ b/crates/entry/src/callers/cascade.rs
@@ -1,8 +1,9 @@
-//! A cheaper model first, a better one if the rater finds the answer poor.
+//! Runs a cascade: a cheaper model first, then a better one if the rating service rates the response as
+//! poor.
 //!
-//! Both legs are one request: one identity, one claim, one bill record that includes
-//! both. The first answer is kept until it is judged; if the second leg fails, the
-//! first answer is given after all, since it is whole.
+//! Both legs are one request with one id, one claim and one bill record that includes both. The first
+//! response is kept until it is rated. If the second leg fails, the caller gets the first response,
+//! since it is complete.
 
 use std::sync::Arc;
 
@@ -14,8 +15,8 @@
 
 use super::call;
 use super::in_flight::InFlight;
-use super::reply::Marks;
 use super::reply::Reply;
+use super::reply::ResponseMetadata;
 use super::run;
 use crate::claiming;
 use crate::learners;
@@ -28,7 +29,7 @@
 use crate::request::RequestEnd;
 use crate::shared::Shared;
 
-/// What one leg came to.
+/// The result of one leg.
 struct Leg {
     order: Order,
     answer: BufferedResponse,
@@ -40,7 +41,7 @@
     async fn run(shared: &Arc<Shared>, order: Order) -> Self {
         let mut execution = Execution::new(Arc::clone(shared), order);
         let answer = execution.run_buffered().await;
-        run::learn(shared, &execution);
+        run::record_statistics(shared, &execution);
         let bill = execution.bill();
         let prior = PriorUsage {
             usage: bill.map(|bill| bill.usage).unwrap_or_default(),
@@ -60,15 +61,16 @@
     }
 }
 
-/// Claims what must be claimed, then runs the legs.
+/// Claims the idempotency key if required, then runs the legs.
 pub(crate) async fn run(shared: &Arc<Shared>, orders: [Order; 2], place: InFlight) -> Reply {
     let [first, second] = orders;
     let claim = match call::claim(shared, &first).await {
         Ok(claim) => claim,
         Err(problem) => {
             run::log_end(shared, &first, &problem.code, problem.outcome, 0);
-            let marks = Marks { request: Some(first.request), ..Marks::default() };
-            return Reply::Problem(problem, marks.held(place));
+            let metadata =
+                ResponseMetadata { request: Some(first.request), ..ResponseMetadata::default() };
+            return Reply::Problem(problem, metadata.with_slot(place));
         }
     };
     let leg = run_legs(shared, first, second).await;
@@ -82,35 +84,35 @@
     reply(shared, leg, place)
 }
 
-/// The leg whose answer the caller gets.
+/// Runs the legs and returns the one whose result the caller gets.
 async fn run_legs(shared: &Arc<Shared>, first: Order, second: Order) -> Leg {
-    let one = Leg::run(shared, first).await;
-    // A first leg of unknown fate must not be followed by a second run of what must run
-    // at most once; and where it provably did not run, the caller is told when to come.
-    let may_go_on = one.order.is_repeatable;
-    if (!one.is_whole() && !may_go_on) || is_good(shared, &one).await {
-        return one;
+    let cheap = Leg::run(shared, first).await;
+    // If a request that must run at most once may have run, there must be no second leg. If it provably
+    // did not run, the caller gets the first leg's retry delay.
+    let may_continue = cheap.order.is_repeatable;
+    if (!cheap.is_whole() && !may_continue) || is_good(shared, &cheap).await {
+        return cheap;
     }
-    let order = Order { prior: one.prior, ..second };
-    let two = Leg::run(shared, order).await;
-    if let Some(host) = &two.served_by {
-        ratings::sample(shared, &two.order, host, &two.answer.chunks);
+    let order = Order { prior: cheap.prior, ..second };
+    let better = Leg::run(shared, order).await;
+    if let Some(host) = &better.served_by {
+        ratings::sample(shared, &better.order, host, &better.answer.chunks);
     }
-    // The first leg's word stands where it is worth more: a whole answer, or that the
-    // request may have run, which a refusal of the second cannot undo.
-    let is_refused = two.outcome() == Outcome::NotRun;
-    let first_may_have_run = one.outcome() != Outcome::NotRun;
-    let first_stands = (one.is_whole() && !two.is_whole()) || (is_refused && first_may_have_run);
-    if first_stands { one } else { two }
+    // The first leg's result takes precedence if only it is complete, or if the second leg was rejected
+    // but the first may have run: the request must then not be reported as not run.
+    let is_refused = better.outcome() == Outcome::NotRun;
+    let first_may_have_run = cheap.outcome() != Outcome::NotRun;
+    let use_first = (cheap.is_whole() && !better.is_whole()) || (is_refused && first_may_have_run);
+    if use_first { cheap } else { better }
 }
 
-/// Whether the first answer is given. Without the rater's word, what is known of the
-/// model decides.
+/// Whether the caller gets the first leg's response. Without a rating, the statistics of the model
+/// decide.
 async fn is_good(shared: &Shared, leg: &Leg) -> bool {
     if !leg.is_whole() {
         return false;
     }
-    // What must run at most once has run.
+    // The request must run at most once and has run.
     if !leg.order.is_repeatable {
         return true;
     }
@@ -130,18 +132,18 @@
 }
 
 fn reply(shared: &Shared, leg: Leg, place: InFlight) -> Reply {
-    let marks = Marks {
+    let metadata = ResponseMetadata {
         request: Some(leg.order.request),
         target: Some(leg.order.target.to_string()),
         session: run::session(shared, &leg.order, leg.served_by),
-        ..Marks::default()
+        ..ResponseMetadata::default()
     };
     let BufferedResponse { ending, head, chunks } = leg.answer;
     if !matches!(ending.kind, EndKind::Whole) {
-        return run::failure(&ending, marks.held(place));
+        return run::failure(&ending, metadata.with_slot(place));
     }
     if leg.order.is_streamed {
-        return events(chunks, marks.held(place));
+        return events(chunks, metadata.with_slot(place));
     }
     let head = head.unwrap_or_default();
     Reply::Whole {
@@ -149,13 +151,13 @@
         content_type: run::content_type(head.content_type),
         body: chunks.concat(),
         outcome: RequestEnd::outcome(&ending),
-        marks: marks.held(place),
+        metadata: metadata.with_slot(place),
     }
 }
 
-/// The kept events, and the end mark, since the answer is known to be whole.
-fn events(chunks: Vec<Bytes>, marks: Marks) -> Reply {
-    let chunks = chunks.into_iter().map(|part| run::event(&part));
-    let all: Vec<Event> = chunks.chain([Event::data(run::END_MARK)]).collect();
-    Reply::Events { events: Box::pin(stream::iter(all)), marks }
+/// The buffered events followed by the end marker, since the response is complete.
+fn events(chunks: Vec<Bytes>, metadata: ResponseMetadata) -> Reply {
+    let chunks = chunks.into_iter().map(|chunk| run::event(&chunk));
+    let all: Vec<Event> = chunks.chain([Event::data(run::END_MARKER)]).collect();
+    Reply::Events { events: Box::pin(stream::iter(all)), metadata }
 }
--- a/crates/entry/src/callers/chat.rs
+++ b/crates/entry/src/callers/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions.
+//! Parses chat completion requests and chooses the model versions that serve them.
 
 use std::sync::Arc;
 
@@ -37,13 +37,13 @@
 use crate::session::SessionToken;
 use crate::shared::Shared;
 
-/// The model name that leaves the choice of the model to the system.
+/// The model name with which the caller leaves the choice of the model to the entry.
 pub(crate) const AUTO: &str = "auto";
 const PATH: &str = "/v1/chat/completions";
-/// An answer's length when the caller names none.
+/// The assumed length of a response if the caller sets no limit.
 const DEFAULT_COMPLETION_TOKENS: u64 = 512;
 
-/// A request's body. What is not named here is passed on as it came.
+/// The body of a chat completion request. Unknown members are passed on unchanged.
 #[derive(Debug, Deserialize, Serialize)]
 struct ChatBody {
     model: String,
@@ -66,16 +66,19 @@
     rest: Map<String, Value>,
 }
 
-/// What a chat request asks for.
+/// The orders that a chat request results in.
 #[derive(Debug)]
 pub(crate) enum ChatOrder {
-    /// One model answers.
+    /// A request to one model.
     Single(Box<Order>),
-    /// The second answers if the first's answer is poor.
+    /// Requests to two models, of which the second is used if the first's response is poor.
     Cascade(Box<[Order; 2]>),
 }
 
-/// Makes an order of a request.
+/// Parses and checks a request, and chooses the model versions.
+///
+/// # Errors
+/// Fails if the body or a header is invalid, or if no version may be used.
 pub(crate) fn order(
     shared: &Arc<Shared>,
     caller: &Caller,
@@ -94,17 +97,19 @@
     })?;
     let session = call::session(shared, &headers, &caller.workspace)?;
     if chat.stream {
-        // The bill needs the usage, which engines leave out of streams unless asked.
+        // Billing needs the usage, which engines include in streams only on request.
         chat.rest.insert("stream_options".to_owned(), json!({ "include_usage": true }));
     }
-    let asked = chat.model.clone();
+    let requested = chat.model.clone();
     let draft = Draft { shared, caller, headers, table, arrived, deadline, body };
-    if asked != AUTO || session.is_some() {
-        let version = choose(shared, &draft.table, &caller.workspace, &asked, session.as_ref())?;
+    if requested != AUTO || session.is_some() {
+        let version =
+            choose_version(shared, &draft.table, &caller.workspace, &requested, session.as_ref())?;
         return Ok(ChatOrder::Single(Box::new(draft.order(&mut chat, version, session))));
     }
-    let version_of =
-        |model: &ModelName| choose(shared, &draft.table, &caller.workspace, model.as_str(), None);
+    let version_of = |model: &ModelName| {
+        choose_version(shared, &draft.table, &caller.workspace, model.as_str(), None)
+    };
     match draft.plan()? {
         Plan::Direct(model) => {
             Ok(ChatOrder::Single(Box::new(draft.order(&mut chat, version_of(&model)?, None))))
@@ -120,7 +125,7 @@
     }
 }
 
-/// What all orders of one request have in common.
+/// The data that all orders of one request share.
 struct Draft<'a> {
     shared: &'a Shared,
     caller: &'a Caller,
@@ -132,7 +137,10 @@
 }
 
 impl Draft<'_> {
-    /// Which models answer, by what was learnt of them.
+    /// Chooses a single model or a cascade by the statistics of the models.
+    ///
+    /// # Errors
+    /// Fails if the workspace has no usable model in its cascade.
     fn plan(&self) -> Result<Plan, Problem> {
         let workspace = &self.caller.workspace;
         let models = learners::models(&self.table, workspace, &self.shared.guard.lock());
@@ -159,7 +167,7 @@
         let prompt = prompt(&chat.messages);
         chat.model = version.to_string();
         let work_key = call::work_key(workspace, &target, self.body);
-        let bound = chat.max_completion_tokens.or(chat.max_tokens);
+        let max_tokens = chat.max_completion_tokens.or(chat.max_tokens);
         Order {
             request: RequestId::generate(),
             workspace: workspace.clone(),
@@ -171,9 +179,9 @@
             path: PATH.to_owned(),
             content_type: "application/json".to_owned(),
             prompt_tokens: estimate_tokens(&prompt).0,
-            completion_tokens: bound.unwrap_or(DEFAULT_COMPLETION_TOKENS),
+            completion_tokens: max_tokens.unwrap_or(DEFAULT_COMPLETION_TOKENS),
             prefix: prefix(&prompt, self.shared.settings.placement.prefix_block_tokens),
-            body: Bytes::from(serde_json::to_vec(&chat).expect("what was JSON is JSON")),
+            body: Bytes::from(serde_json::to_vec(&chat).expect("parsed JSON can be serialized")),
             idempotency_key: self.headers.idempotency_key.clone(),
             work_key,
             task: self.headers.task.clone(),
@@ -184,21 +192,25 @@
     }
 }
 
-/// The version that answers: the session's, the one named, or one by the weights.
-fn choose(
+/// Chooses the version that serves a request: that of the session, the requested one, or a random one
+/// by weight.
+///
+/// # Errors
+/// Fails if the model is unknown or no version may be used.
+fn choose_version(
     shared: &Shared,
     table: &Table,
     workspace: &WorkspaceName,
-    asked: &str,
+    requested: &str,
     session: Option<&SessionToken>,
 ) -> Result<ModelVersion, Problem> {
     if let Some(session) = session {
-        return of_session(table, workspace, asked, &session.target);
+        return session_version(table, workspace, requested, &session.target);
     }
-    if let Ok(version) = asked.parse::<ModelVersion>() {
-        return named(table, workspace, version);
+    if let Ok(version) = requested.parse::<ModelVersion>() {
+        return requested_version(table, workspace, version);
     }
-    let model: ModelName = asked.parse().map_err(|_| unknown(asked))?;
+    let model: ModelName = requested.parse().map_err(|_| unknown(requested))?;
     let mut versions = Vec::new();
     let mut is_known = false;
     for row in table.rows_of(workspace) {
@@ -214,7 +226,7 @@
         }
     }
     if !is_known {
-        return Err(unknown(asked));
+        return Err(unknown(requested));
     }
     split(&versions, &mut rand::rng()).map_err(|refusal| {
         let reason = match refusal {
@@ -225,19 +237,27 @@
     })
 }
 
-/// A session keeps its version while that drains, and loses it when it is withdrawn.
-fn of_session(
+/// The version of a session, which may be used while it is draining, but not once it is withdrawn.
+///
+/// # Errors
+/// Fails if the session is for another model than the requested one, or its version may not be used.
+fn session_version(
     table: &Table,
     workspace: &WorkspaceName,
-    asked: &str,
+    requested: &str,
     target: &Target,
 ) -> Result<ModelVersion, Problem> {
     let Target::Version(version) = target else {
-        return Err(Problem::bad_header(super::headers::SESSION, "the session is on a service"));
+        return Err(Problem::bad_header(
+            super::headers::SESSION,
+            "the session belongs to a service",
+        ));
     };
-    let fits = asked == AUTO || asked == version.model.as_str() || asked == version.to_string();
-    if !fits {
-        let detail = format!("the session is on {version}, the request asks for {asked}");
+    let matches = requested == AUTO
+        || requested == version.model.as_str()
+        || requested == version.to_string();
+    if !matches {
+        let detail = format!("the session belongs to {version}, the request asks for {requested}");
         return Err(Problem::bad_header(super::headers::SESSION, &detail));
     }
     let row = table.row(workspace, target).filter(|row| row.allowed);
@@ -248,7 +268,11 @@
     }
 }
 
-fn named(
+/// Checks that a requested version may be used for a new session.
+///
+/// # Errors
+/// Fails if it is unknown, not allowed, draining or withdrawn.
+fn requested_version(
     table: &Table,
     workspace: &WorkspaceName,
     version: ModelVersion,
@@ -271,12 +295,13 @@
     Problem::not_run(reason, std::time::Duration::ZERO)
 }
 
-fn unknown(asked: &str) -> Problem {
-    let detail = format!("the workspace has no model '{asked}'");
+fn unknown(requested: &str) -> Problem {
+    let detail = format!("the workspace has no model '{requested}'");
     Problem::not_routed(404, "unknown-model", detail)
 }
 
-/// The prompt's leading blocks, told by a few marks.
+/// The prompt's leading blocks, identified by the hashes of a few prefixes. `None` if the prompt is
+/// shorter than a block.
 fn prefix(prompt: &str, block_tokens: u64) -> Option<Prefix> {
     let hashes = prefix_hashes(prompt, block_tokens);
     if hashes.is_empty() {
--- a/crates/entry/src/callers/headers.rs
+++ b/crates/entry/src/callers/headers.rs
@@ -1,4 +1,4 @@
-//! What a caller says about its request in headers.
+//! The request headers of callers, and the names of request and response headers.
 
 use std::str::FromStr;
 
@@ -19,7 +19,7 @@
 pub(crate) const REQUEST_ID: &str = "Stallhoist-Request-Id";
 pub(crate) const TARGET: &str = "Stallhoist-Target";
 
-/// The headers as they came.
+/// The headers as received.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RawHeaders {
     idempotency_key: Option<String>,
@@ -30,15 +30,15 @@
     pub(crate) content_type: String,
 }
 
-/// The headers, checked.
+/// The validated headers.
 #[derive(Debug, Clone)]
 pub(crate) struct CallHeaders {
     pub(crate) idempotency_key: Option<IdempotencyKey>,
-    /// What the caller says; none when it says nothing.
+    /// Whether the request may run more than once; `None` if the caller did not specify it.
     pub(crate) repeatable: Option<bool>,
     pub(crate) session: Option<String>,
     pub(crate) deadline_ms: Option<u64>,
-    /// The kind of work, for the log and for version choice.
+    /// The task, for the log and for the choice of the model.
     pub(crate) task: Option<TaskName>,
 }
 
@@ -60,7 +60,10 @@
 }
 
 impl RawHeaders {
-    /// Checks the headers.
+    /// Validates the headers.
+    ///
+    /// # Errors
+    /// Fails if the value of a header is invalid.
     pub(crate) fn check(&self) -> Result<CallHeaders, Problem> {
         Ok(CallHeaders {
             idempotency_key: parse(IDEMPOTENCY_KEY, self.idempotency_key.as_deref())?,
--- a/crates/entry/src/callers/in_flight.rs
+++ b/crates/entry/src/callers/in_flight.rs
@@ -1,23 +1,23 @@
-//! The bound on requests in progress.
+//! The limit on requests in progress.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
 use crate::shared::Shared;
 
-/// Counts as a request in progress for as long as it lives.
+/// The slot of a request in progress. Dropping it releases the slot.
 #[derive(Debug)]
 pub(crate) struct InFlight {
     shared: Arc<Shared>,
 }
 
 impl InFlight {
-    /// A place, unless all are taken.
-    pub(crate) fn take(shared: &Arc<Shared>) -> Option<Self> {
-        let bound = shared.settings.callers.max_in_flight_requests;
-        let one_more = |count| (count < bound).then_some(count + 1);
-        let taken = shared.in_flight.fetch_update(Ordering::SeqCst, Ordering::SeqCst, one_more);
-        taken.ok()?;
+    /// Acquires a slot, or returns `None` if the limit of the settings is reached.
+    pub(crate) fn acquire(shared: &Arc<Shared>) -> Option<Self> {
+        let limit = shared.settings.callers.max_in_flight_requests;
+        let increment = |count| (count < limit).then_some(count + 1);
+        let updated = shared.in_flight.fetch_update(Ordering::SeqCst, Ordering::SeqCst, increment);
+        updated.ok()?;
         shared.metrics.in_flight_requests.inc();
         Some(Self { shared: Arc::clone(shared) })
     }
--- a/crates/entry/src/callers/models.rs
+++ b/crates/entry/src/callers/models.rs
@@ -1,4 +1,4 @@
-//! The list of models that a workspace may ask for.
+//! The list of models that a workspace may request.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 
 use super::chat::AUTO;
 
-/// One model of the list.
+/// An item of the list, in the form of the OpenAI API.
 #[derive(Debug, Serialize)]
 pub(crate) struct ModelItem {
     id: String,
@@ -19,14 +19,13 @@
     owned_by: &'static str,
 }
 
-/// The list.
 #[derive(Debug, Serialize)]
 pub(crate) struct ModelList {
     object: &'static str,
     data: Vec<ModelItem>,
 }
 
-/// The models and versions that a workspace may start new work on.
+/// Lists the models and versions that a workspace may use for new requests.
 pub(crate) fn list(table: &Table, workspace: &WorkspaceName) -> ModelList {
     let mut names = BTreeSet::new();
     for row in table.rows_of(workspace) {
--- a/crates/entry/src/callers/problem.rs
+++ b/crates/entry/src/callers/problem.rs
@@ -1,5 +1,5 @@
-//! Errors that callers see: problem JSON (RFC 9457), with the member `error` besides,
-//! which is where chat-completions clients look.
+//! Error responses to callers: problem JSON (RFC 9457) with an additional member `error`, which clients
+//! of chat completions read.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const TYPE_PREFIX: &str = "urn:stallhoist:problem:";
 
-/// An error that a caller sees.
+/// An error response to a caller.
 #[derive(Debug, Clone)]
 pub(crate) struct Problem {
     pub(crate) status: u16,
@@ -39,7 +39,7 @@
 }
 
 impl Problem {
-    /// An error of a request that was not routed.
+    /// The error of a request that was rejected before routing.
     pub(crate) fn not_routed(status: u16, code: &str, detail: impl Into<String>) -> Self {
         Self {
             status,
@@ -54,24 +54,30 @@
         Self::not_routed(400, "bad-header", format!("header {name}: {detail}"))
     }
 
-    /// A request that was provably not run.
+    /// The error of a request that provably did not run.
     pub(crate) fn not_run(reason: NotRunReason, retry_after: Duration) -> Self {
         let (status, detail) = match reason {
             NotRunReason::NotAllowed => (403, "the workspace may not use this model or service"),
             NotRunReason::Withdrawn => (409, "the version is withdrawn; start a new session"),
-            NotRunReason::Draining => (409, "the version takes no new work; start a new session"),
+            NotRunReason::Draining => (409, "the version is draining; start a new session"),
             NotRunReason::DuplicateKey => (409, "another request holds this idempotency key"),
-            NotRunReason::Overloaded => (429, "it could not be started before its deadline"),
-            NotRunReason::LimitReached => (429, "a limit of the workspace is used up"),
-            NotRunReason::Held => (503, "the version is held back"),
-            NotRunReason::DeadlinePassed => (504, "the deadline passed before it was started"),
-            NotRunReason::StoreUnavailable => (503, "the platform's store does not answer"),
-            NotRunReason::NoTable => (503, "no table is in force yet"),
+            NotRunReason::Overloaded => {
+                (429, "the request could not be started before its deadline")
+            }
+            NotRunReason::LimitReached => (429, "a limit of the workspace is reached"),
+            NotRunReason::Held => {
+                (503, "the version is held back because of failures or poor ratings")
+            }
+            NotRunReason::DeadlinePassed => {
+                (504, "the deadline passed before the request was started")
+            }
+            NotRunReason::StoreUnavailable => (503, "the platform's store does not respond"),
+            NotRunReason::NoTable => (503, "no table is active yet"),
             NotRunReason::NoUpstream
             | NotRunReason::Leaving
             | NotRunReason::NotServed
             | NotRunReason::Barred
-            | NotRunReason::UpstreamUnreachable => (503, "no upstream can take it now"),
+            | NotRunReason::UpstreamUnreachable => (503, "no upstream is available"),
         };
         let is_lasting = matches!(status, 403 | 409);
         Self {
@@ -83,13 +89,13 @@
         }
     }
 
-    /// A request that ran, or may have run, without a whole answer.
-    pub(crate) fn without_answer(outcome: Outcome, code: &str, detail: impl Into<String>) -> Self {
+    /// The error of a request that ran, or may have run, without a complete response.
+    pub(crate) fn no_response(outcome: Outcome, code: &str, detail: impl Into<String>) -> Self {
         let status = if code == "deadline-passed" { 504 } else { 502 };
         Self { status, code: code.to_owned(), detail: detail.into(), outcome, retry_after: None }
     }
 
-    /// The body, as problem JSON.
+    /// The response body as problem JSON.
     pub(crate) fn body(&self) -> Vec<u8> {
         let retry_after_ms = self.retry_after.map(millis);
         let body = ProblemBody {
@@ -101,7 +107,7 @@
             retry_after_ms,
             error: ErrorMember { message: &self.detail, r#type: &self.code, code: &self.code },
         };
-        serde_json::to_vec(&body).expect("a problem is plain data")
+        serde_json::to_vec(&body).expect("a problem can be serialized")
     }
 }
 
--- a/crates/entry/src/callers/reply.rs
+++ b/crates/entry/src/callers/reply.rs
@@ -1,4 +1,4 @@
-//! Replies to callers.
+//! Responses to callers.
 
 use std::io;
 use std::io::Cursor;
@@ -28,24 +28,24 @@
 const PROBLEM_JSON: &str = "application/problem+json";
 const MS_PER_S: u64 = 1_000;
 
-/// What every reply to a routed request carries in its headers.
+/// The data for the response headers of a routed request.
 #[derive(Debug, Default)]
-pub(crate) struct Marks {
+pub(crate) struct ResponseMetadata {
     pub(crate) request: Option<RequestId>,
     pub(crate) target: Option<String>,
     pub(crate) session: Option<String>,
-    /// Held until the body has gone out, so that a planned stop waits for it.
+    /// Held until the body was sent, so that a graceful shutdown waits for it.
     pub(crate) place: Option<InFlight>,
 }
 
-impl Marks {
-    /// The same with a request's place, to be given back when the body has gone out.
-    pub(crate) fn held(self, place: InFlight) -> Self {
+impl ResponseMetadata {
+    /// Adds the request's slot, which is released when the body was sent.
+    pub(crate) fn with_slot(self, place: InFlight) -> Self {
         Self { place: Some(place), ..self }
     }
 }
 
-/// A body that holds its request's place.
+/// A body that holds its request's slot.
 struct HeldBody {
     bytes: Cursor<Vec<u8>>,
     _place: Option<InFlight>,
@@ -71,41 +71,47 @@
     }
 }
 
-/// A reply to a caller.
+/// A response to a caller.
 pub(crate) enum Reply {
-    /// A whole body.
-    Whole { status: u16, content_type: String, body: Vec<u8>, outcome: Outcome, marks: Marks },
-    /// Events as they come; how it ends is said by its last event.
-    Events { events: BoxStream<'static, Event>, marks: Marks },
-    /// An error.
-    Problem(Problem, Marks),
+    /// A complete body.
+    Whole {
+        status: u16,
+        content_type: String,
+        body: Vec<u8>,
+        outcome: Outcome,
+        metadata: ResponseMetadata,
+    },
+    /// A stream of events, of which the last one says how the request ended.
+    Events { events: BoxStream<'static, Event>, metadata: ResponseMetadata },
+    /// An error response.
+    Problem(Problem, ResponseMetadata),
 }
 
 impl From<Problem> for Reply {
     fn from(problem: Problem) -> Self {
-        Self::Problem(problem, Marks::default())
+        Self::Problem(problem, ResponseMetadata::default())
     }
 }
 
 impl<'r> Responder<'r, 'r> for Reply {
     fn respond_to(self, request: &'r Request<'_>) -> rocket::response::Result<'r> {
         match self {
-            Self::Whole { status, content_type, body, outcome, marks } => {
-                let mut marks = marks;
-                let mut response = whole(status, content_type, body, marks.place.take());
+            Self::Whole { status, content_type, body, outcome, metadata } => {
+                let mut metadata = metadata;
+                let mut response = whole(status, content_type, body, metadata.place.take());
                 set_outcome(&mut response, outcome);
-                set_marks(&mut response, marks);
+                set_headers(&mut response, metadata);
                 Ok(response)
             }
-            Self::Events { events, marks } => {
+            Self::Events { events, metadata } => {
                 let mut response = EventStream::from(events).heartbeat(None).respond_to(request)?;
-                set_marks(&mut response, marks);
+                set_headers(&mut response, metadata);
                 Ok(response)
             }
-            Self::Problem(problem, marks) => {
-                let mut marks = marks;
-                let mut response = problem_response(&problem, marks.place.take());
-                set_marks(&mut response, marks);
+            Self::Problem(problem, metadata) => {
+                let mut metadata = metadata;
+                let mut response = problem_response(&problem, metadata.place.take());
+                set_headers(&mut response, metadata);
                 Ok(response)
             }
         }
@@ -131,13 +137,13 @@
     set_outcome(&mut response, problem.outcome);
     if let Some(after) = problem.retry_after {
         let after_ms = millis(after);
-        // The standard header counts whole seconds; the second one is what the usual
-        // client libraries prefer.
+        // The standard header has a resolution of one second. Common client libraries prefer the second
+        // header.
         response.set_raw_header("Retry-After", after_ms.div_ceil(MS_PER_S).to_string());
         response.set_raw_header("Retry-After-Ms", after_ms.to_string());
     }
-    let is_worth_repeating = problem.retry_after.is_some();
-    response.set_raw_header("X-Should-Retry", is_worth_repeating.to_string());
+    let should_retry = problem.retry_after.is_some();
+    response.set_raw_header("X-Should-Retry", should_retry.to_string());
     response
 }
 
@@ -145,14 +151,14 @@
     response.set_raw_header(headers::OUTCOME, outcome.to_string());
 }
 
-fn set_marks(response: &mut Response<'_>, marks: Marks) {
-    if let Some(request) = marks.request {
+fn set_headers(response: &mut Response<'_>, metadata: ResponseMetadata) {
+    if let Some(request) = metadata.request {
         response.set_raw_header(headers::REQUEST_ID, request.to_string());
     }
-    if let Some(target) = marks.target {
+    if let Some(target) = metadata.target {
         response.set_raw_header(headers::TARGET, target);
     }
-    if let Some(session) = marks.session {
+    if let Some(session) = metadata.session {
         response.set_raw_header(headers::SESSION, session);
     }
 }
--- a/crates/entry/src/callers/routes.rs
+++ b/crates/entry/src/callers/routes.rs
@@ -1,4 +1,4 @@
-//! The callers' routes.
+//! The HTTP routes for callers.
 
 use std::sync::Arc;
 
@@ -64,8 +64,8 @@
     headers: RawHeaders,
     data: Data<'_>,
 ) -> Reply {
-    let Some(place) = InFlight::take(entry) else {
-        return run::no_place();
+    let Some(place) = InFlight::acquire(entry) else {
+        return run::too_many_requests();
     };
     let ordered = async {
         let body = call::read_body(entry, data).await?;
@@ -78,7 +78,7 @@
     }
 }
 
-/// One handler serves all methods and paths below a service.
+/// Handles all methods and paths below a service.
 #[derive(Debug, Clone)]
 struct ServiceHandler;
 
@@ -112,8 +112,8 @@
     request: &Request<'_>,
     data: Data<'_>,
 ) -> Reply {
-    let Some(place) = InFlight::take(entry) else {
-        return run::no_place();
+    let Some(place) = InFlight::acquire(entry) else {
+        return run::too_many_requests();
     };
     let ordered = async {
         let body = call::read_body(entry, data).await?;
@@ -148,9 +148,9 @@
         503 => Problem::not_run(NotRunReason::NoTable, std::time::Duration::from_secs(1)),
         code if code < 500 => Problem::not_routed(code, "bad-request", status.to_string()),
         _ => {
-            // A handler that failed midway: nothing is known.
-            let detail = "the entry failed while it served the request";
-            Problem::without_answer(stallhoist_core::Outcome::Unknown, "internal", detail)
+            // A handler failed: the request may or may not have run.
+            let detail = "internal error of the entry while it served the request";
+            Problem::no_response(stallhoist_core::Outcome::Unknown, "internal", detail)
         }
     };
     problem.into()
--- a/crates/entry/src/callers/run.rs
+++ b/crates/entry/src/callers/run.rs
@@ -1,4 +1,4 @@
-//! Running an order for a caller, whole or streamed.
+//! Executes an order and builds the response to the caller, either complete or streamed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,8 +14,8 @@
 use super::call;
 use super::in_flight::InFlight;
 use super::problem::Problem;
-use super::reply::Marks;
 use super::reply::Reply;
+use super::reply::ResponseMetadata;
 use crate::claiming;
 use crate::learners;
 use crate::metrics::OutcomeLabel;
@@ -28,27 +28,31 @@
 use crate::session::SessionToken;
 use crate::shared::Shared;
 
-/// The event that ends a whole stream.
-pub(super) const END_MARK: &str = "[DONE]";
+/// The event after the last chunk of a complete streamed response.
+pub(super) const END_MARKER: &str = "[DONE]";
 const DEFAULT_CONTENT_TYPE: &str = "application/json";
 
-/// Claims what must be claimed, then runs.
+/// Claims the idempotency key if required, then executes the order.
 pub(crate) async fn run(shared: &Arc<Shared>, order: Order, place: InFlight) -> Reply {
-    let marks = Marks {
+    let metadata = ResponseMetadata {
         request: Some(order.request),
         target: Some(order.target.to_string()),
-        ..Marks::default()
+        ..ResponseMetadata::default()
     };
     let claim = match call::claim(shared, &order).await {
         Ok(claim) => claim,
         Err(problem) => {
             log_end(shared, &order, &problem.code, problem.outcome, 0);
-            return Reply::Problem(problem, marks.held(place));
+            return Reply::Problem(problem, metadata.with_slot(place));
         }
     };
     let is_streamed = order.is_streamed;
     let run = Run { execution: Execution::new(Arc::clone(shared), order), claim, place };
-    if is_streamed { run.streamed(shared, marks).await } else { run.whole(shared, marks).await }
+    if is_streamed {
+        run.streamed(shared, metadata).await
+    } else {
+        run.whole(shared, metadata).await
+    }
 }
 
 struct Run {
@@ -58,46 +62,51 @@
 }
 
 impl Run {
-    async fn whole(mut self, shared: &Arc<Shared>, marks: Marks) -> Reply {
+    async fn whole(mut self, shared: &Arc<Shared>, metadata: ResponseMetadata) -> Reply {
         let answer = self.execution.run_buffered().await;
-        self.ended(shared, &answer.ending).await;
+        self.finish(shared, &answer.ending).await;
         if !matches!(answer.ending.kind, EndKind::Whole) {
-            return failure(&answer.ending, marks.held(self.place));
+            return failure(&answer.ending, metadata.with_slot(self.place));
         }
         let served_by = self.execution.served_by().cloned();
-        learn(shared, &self.execution);
+        record_statistics(shared, &self.execution);
         if let Some(host) = &served_by {
             ratings::sample(shared, &self.execution.order, host, &answer.chunks);
         }
-        let marks = Marks { session: session(shared, &self.execution.order, served_by), ..marks };
+        let metadata = ResponseMetadata {
+            session: session(shared, &self.execution.order, served_by),
+            ..metadata
+        };
         let head = answer.head.unwrap_or_default();
         Reply::Whole {
             status: u16::try_from(head.http_status).unwrap_or(200),
             content_type: content_type(head.content_type),
             body: answer.chunks.concat(),
             outcome: Outcome::Completed,
-            marks: marks.held(self.place),
+            metadata: metadata.with_slot(self.place),
         }
     }
 
-    /// Waits for the beginning of the answer, so that a refusal has its own status.
-    async fn streamed(mut self, shared: &Arc<Shared>, marks: Marks) -> Reply {
+    /// Waits for the first chunk before it responds, so that a rejection gets its own HTTP status.
+    async fn streamed(mut self, shared: &Arc<Shared>, metadata: ResponseMetadata) -> Reply {
         let first = loop {
             match self.execution.next().await {
                 Step::Head(_) => {}
-                Step::Chunk(part) => break part,
+                Step::Chunk(chunk) => break chunk,
                 Step::End(ending) => {
-                    self.ended(shared, &ending).await;
+                    self.finish(shared, &ending).await;
                     return match ending.kind {
-                        EndKind::Whole => empty_stream(marks.held(self.place)),
-                        _ => failure(&ending, marks.held(self.place)),
+                        EndKind::Whole => empty_stream(metadata.with_slot(self.place)),
+                        _ => failure(&ending, metadata.with_slot(self.place)),
                     };
                 }
             }
         };
         let upstream_host = self.execution.upstream_host().cloned();
-        let marks =
-            Marks { session: session(shared, &self.execution.order, upstream_host), ..marks };
+        let metadata = ResponseMetadata {
+            session: session(shared, &self.execution.order, upstream_host),
+            ..metadata
+        };
         let shared = Arc::clone(shared);
         let waited = shared.now().since(self.execution.order.arrived);
         shared.metrics.first_byte_seconds.observe(waited.as_secs_f64());
@@ -106,9 +115,9 @@
             loop {
                 match self.execution.next().await {
                     Step::Head(_) => {}
-                    Step::Chunk(part) => yield event(&part),
+                    Step::Chunk(chunk) => yield event(&chunk),
                     Step::End(ending) => {
-                        self.ended(&shared, &ending).await;
+                        self.finish(&shared, &ending).await;
                         yield last_event(&ending);
                         break;
                     }
@@ -116,11 +125,11 @@
             }
         };
         let events: BoxStream<'static, Event> = Box::pin(events);
-        Reply::Events { events, marks }
+        Reply::Events { events, metadata }
     }
 
-    /// Counts and logs the end, and frees the claim of what did not run.
-    async fn ended(&mut self, shared: &Arc<Shared>, ending: &RequestEnd) {
+    /// Counts and logs the end of the request, and releases its claim if it did not run.
+    async fn finish(&mut self, shared: &Arc<Shared>, ending: &RequestEnd) {
         let order = &self.execution.order;
         log_end(shared, order, code(&ending.kind), ending.outcome(), ending.attempts);
         if ending.outcome() == Outcome::NotRun
@@ -131,8 +140,8 @@
     }
 }
 
-/// Takes in what a whole answer cost and how long it took.
-pub(super) fn learn(shared: &Shared, execution: &Execution) {
+/// Records the cost and latency of a complete response in the model's statistics.
+pub(super) fn record_statistics(shared: &Shared, execution: &Execution) {
     let order = &execution.order;
     let (Some(model), Some(bill)) = (learners::model_of(&order.target), execution.bill()) else {
         return;
@@ -171,8 +180,8 @@
     }
 }
 
-pub(super) fn failure(ending: &RequestEnd, marks: Marks) -> Reply {
-    // What the upstream itself says of a bad request is for the caller.
+pub(super) fn failure(ending: &RequestEnd, metadata: ResponseMetadata) -> Reply {
+    // The upstream's response to a client error is passed on to the caller.
     if let EndKind::UpstreamError { http_status, content_type: kind, body } = &ending.kind
         && (400..500).contains(http_status)
     {
@@ -181,10 +190,10 @@
             content_type: content_type(kind.clone()),
             body: body.clone(),
             outcome: Outcome::Failed,
-            marks,
+            metadata,
         };
     }
-    Reply::Problem(problem(ending), marks)
+    Reply::Problem(problem(ending), metadata)
 }
 
 fn problem(ending: &RequestEnd) -> Problem {
@@ -193,22 +202,24 @@
     match &ending.kind {
         EndKind::NotRun { reason, retry_after } => Problem::not_run(*reason, *retry_after),
         EndKind::UpstreamError { http_status, .. } => {
-            let detail = format!("the upstream answered with status {http_status}");
-            Problem::without_answer(outcome, code, detail)
-        }
-        EndKind::Truncated { detail } => Problem::without_answer(outcome, code, detail.clone()),
-        EndKind::DeadlinePassed { .. } => {
-            Problem::without_answer(outcome, code, "the deadline passed before its end")
+            let detail = format!("the upstream responded with status {http_status}");
+            Problem::no_response(outcome, code, detail)
         }
+        EndKind::Truncated { detail } => Problem::no_response(outcome, code, detail.clone()),
+        EndKind::DeadlinePassed { .. } => Problem::no_response(
+            outcome,
+            code,
+            "the deadline passed before the response was complete",
+        ),
         EndKind::Whole | EndKind::Unknown => {
-            let detail = "it may have run: what became of it cannot be found out";
-            Problem::without_answer(Outcome::Unknown, code, detail)
+            let detail = "the request may have run: its outcome cannot be determined";
+            Problem::no_response(Outcome::Unknown, code, detail)
         }
     }
 }
 
-/// A token by which the caller's next request goes on with this one's version.
-/// Plain services have no versions to stay on.
+/// Signs a token with which the caller's next request continues the session on the same version. Plain
+/// services have no versions, so they have no sessions.
 pub(super) fn session(shared: &Shared, order: &Order, host: Option<HostId>) -> Option<String> {
     if matches!(order.target, Target::Service(_)) {
         return None;
@@ -225,25 +236,26 @@
     if given.is_empty() { DEFAULT_CONTENT_TYPE.to_owned() } else { given }
 }
 
-pub(super) fn event(part: &[u8]) -> Event {
-    Event::data(String::from_utf8_lossy(part).into_owned())
+pub(super) fn event(chunk: &[u8]) -> Event {
+    Event::data(String::from_utf8_lossy(chunk).into_owned())
 }
 
-/// The end mark only after a whole answer; else an error that clients raise.
+/// The last event of a stream: the end marker after a complete response, else an error that client
+/// libraries raise.
 fn last_event(ending: &RequestEnd) -> Event {
     match ending.kind {
-        EndKind::Whole => Event::data(END_MARK),
+        EndKind::Whole => Event::data(END_MARKER),
         _ => event(&problem(ending).body()),
     }
 }
 
-fn empty_stream(marks: Marks) -> Reply {
-    let only = futures_util::stream::once(async { Event::data(END_MARK) });
-    Reply::Events { events: Box::pin(only), marks }
+fn empty_stream(metadata: ResponseMetadata) -> Reply {
+    let only = futures_util::stream::once(async { Event::data(END_MARKER) });
+    Reply::Events { events: Box::pin(only), metadata }
 }
 
-/// When all places for requests are taken.
-pub(crate) fn no_place() -> Reply {
+/// The response if the limit on requests in progress is reached.
+pub(crate) fn too_many_requests() -> Reply {
     const RETRY_AFTER: Duration = Duration::from_secs(1);
     Problem::not_run(stallhoist_core::NotRunReason::Overloaded, RETRY_AFTER).into()
 }
--- a/crates/entry/src/callers/services.rs
+++ b/crates/entry/src/callers/services.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Checks calls of plain services.
 
 use std::sync::Arc;
 
@@ -17,18 +17,21 @@
 use crate::request::PriorUsage;
 use crate::shared::Shared;
 
-/// A call of a plain service, as it came.
+/// A call of a plain service, as received.
 #[derive(Debug)]
 pub(crate) struct ServiceCall<'a> {
     pub(crate) service: &'a str,
     pub(crate) method: &'a str,
-    /// Path and query, as the service shall see them.
+    /// The path and query that are sent to the service.
     pub(crate) path: String,
     pub(crate) content_type: String,
     pub(crate) body: Vec<u8>,
 }
 
-/// Makes an order of a call.
+/// Checks a call and makes an order of it.
+///
+/// # Errors
+/// Fails if a header is invalid, or if the workspace has no such service or may not use it.
 pub(crate) fn order(
     shared: &Arc<Shared>,
     caller: &Caller,
--- a/crates/entry/src/claiming.rs
+++ b/crates/entry/src/claiming.rs
@@ -8,7 +8,8 @@
 
 use crate::shared::Shared;
 
-/// How long a response waits for the release of its claim, so that a caller that retries at once finds the key free.
+/// How long a response waits for the release of its claim, so that a caller that retries at once finds
+/// the key free.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Acquires a claim within the timeout of the settings.
@@ -26,7 +27,8 @@
     claimed
 }
 
-/// Releases the claim of a request that provably did not run. If that fails, it is retried in the background.
+/// Releases the claim of a request that provably did not run. If that fails, it is retried in the
+/// background.
 pub(crate) async fn release(shared: &Arc<Shared>, claim: PendingClaim) {
     let release = shared.claims.release(&claim);
     let released = tokio::time::timeout(RELEASE_TIMEOUT, release).await;
@@ -35,7 +37,8 @@
     }
 }
 
-/// Retries claims that could not be released. After the first failure, the rest is left to the next call.
+/// Retries claims that could not be released. After the first failure, the rest is left to the next
+/// call.
 pub(crate) async fn retry_releases(shared: &Shared) {
     let left = std::mem::take(&mut *shared.unreleased.lock());
     let mut is_reachable = true;
--- a/crates/entry/src/holds.rs
+++ b/crates/entry/src/holds.rs
@@ -1,4 +1,5 @@
-//! Feeds the guard with the counts that sidecars report, and applies its holds when a version is chosen.
+//! Feeds the guard with the counts that sidecars report, and applies its holds when a version is
+//! chosen.
 
 use stallhoist_core::HostId;
 use stallhoist_core::ModelVersion;
@@ -48,7 +49,8 @@
     Ok(())
 }
 
-/// The data for the choice of a version: the row's weight and ramp, restricted by the guard's hold and cap.
+/// The data for the choice of a version: the row's weight and ramp, restricted by the guard's hold and
+/// cap.
 pub(crate) fn version_candidate(
     shared: &Shared,
     table: &Table,
@@ -65,8 +67,8 @@
     }
 }
 
-/// The number of times operators cleared the hold of a version. A hold applies to all workspaces, so the counts of
-/// all rows are added up.
+/// The number of times operators cleared the hold of a version. A hold applies to all workspaces, so
+/// the counts of all rows are added up.
 fn resets(table: &Table, version: &ModelVersion) -> u64 {
     let target = Target::Version(version.clone());
     let of_version = table.rows.iter().filter(|row| row.target == target);
--- a/crates/entry/src/learners.rs
+++ b/crates/entry/src/learners.rs
@@ -16,7 +16,8 @@
 
 /// The time after a failed call of the rating service during which it counts as unavailable.
 const RATER_PAUSE: Duration = Duration::from_secs(5);
-/// The maximum number of kinds of work with statistics. When it is exceeded, all statistics are dropped.
+/// The maximum number of kinds of work with statistics. When it is exceeded, all statistics are
+/// dropped.
 const MAX_KINDS: usize = 1_000;
 
 /// The workspace and task of a request.
@@ -50,7 +51,8 @@
     }
 }
 
-/// The models of a workspace's cascade, cheapest first. Models without an available version are left out.
+/// The models of a workspace's cascade, cheapest first. Models without an available version are left
+/// out.
 pub(crate) fn models(table: &Table, workspace: &WorkspaceName, guard: &Guard) -> Vec<CascadeModel> {
     let mut models: Vec<(u32, CascadeModel)> = Vec::new();
     for row in table.rows_of(workspace) {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,11 +1,13 @@
-//! The process on each entry host: serves callers and operators, and owns a request
-//! from its arrival to its final answer.
+//! The process on each entry host. It serves callers and operators, and is responsible for a request
+//! from its arrival to its response.
 //!
-//! An entry keeps no picture of the whole. It stays connected to a bounded subset of
-//! each target's sidecars, asks a few of them what a request would cost, and sends it
-//! to the best answer. What must not be repeated is claimed in the store first. When a
-//! connection breaks, the sidecar is asked what became of the attempt; nothing is
-//! called "not run" that was not proved so.
+//! An entry has no global state of the fleet. It is connected to a bounded subset of each target's
+//! sidecars, probes a few of them for the expected latency of a request, and sends it to the best one.
+//! A request that must not be repeated is first claimed in the store. When a connection breaks, the
+//! sidecar is asked for the state of the attempt. A request is reported as not run only if that is
+//! proved.
+//!
+//! Read `process` first, then `callers` and `request`, then `mesh` (the connections to sidecars).
 //!
 //! Lock order: `links`, `link state`, `waiters`, `bills`, `holders`, `retries`,
 //! `ejection`, `guard`, `learners`,
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -1,7 +1,7 @@
 //! Enforces the limits of table rows. Each entry enforces its share of a limit, without coordination.
 //!
-//! The shares follow from the host list. While the list may lack other entries (before the first one, or when it
-//! is old), an entry uses half of its share.
+//! The shares follow from the host list. While the list may lack other entries (before the first one,
+//! or when it is old), an entry uses half of its share.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,8 +23,8 @@
 use crate::request::Order;
 use crate::shared::Shared;
 
-/// The age of the host list, in polling periods, up to which it counts as current. Allows for failed polls; an older
-/// list may lack other entries.
+/// The age of the host list, in polling periods, up to which it counts as current. Allows for failed
+/// polls; an older list may lack other entries.
 const HOST_LIST_TTL_POLLS: u32 = 6;
 
 type RowKey = (WorkspaceName, Target);
@@ -34,7 +34,8 @@
 pub(crate) struct FleetLimits {
     /// The live entries in the newest host list, and when it was read; `None` before the first.
     listed: Option<(MonoTime, Vec<HostId>)>,
-    /// One limiter for each limited row that was requested, hence at most as many as the table has rows.
+    /// One limiter for each limited row that was requested, hence at most as many as the table has
+    /// rows.
     rows: HashMap<RowKey, RowLimiter>,
 }
 
@@ -52,8 +53,8 @@
         self.listed.as_ref().map(|(_, entries)| entries.len())
     }
 
-    /// This entry's share of the limits of a row. It is halved before the first list and when the list is older
-    /// than `ttl`, since there may be other entries.
+    /// This entry's share of the limits of a row. It is halved before the first list and when the list
+    /// is older than `ttl`, since there may be other entries.
     fn share(&self, now: MonoTime, local: &HostId, ttl: Duration, row: &RowKey) -> EntryShare {
         let salt = xxh3_64(format!("{}/{}", row.0, row.1).as_bytes());
         match &self.listed {
--- a/crates/entry/src/mesh/link.rs
+++ b/crates/entry/src/mesh/link.rs
@@ -51,7 +51,8 @@
     pub(crate) last_heard: Instant,
 }
 
-/// The connection to one sidecar. It is reestablished with exponential back-off until the link is closed.
+/// The connection to one sidecar. It is reestablished with exponential back-off until the link is
+/// closed.
 #[derive(Debug)]
 pub(crate) struct Link {
     pub(crate) addr: SocketAddr,
@@ -75,7 +76,8 @@
         self.connected.borrow().clone()
     }
 
-    /// Reads the state of the connection without copying it. Returns `None` while the connection is down.
+    /// Reads the state of the connection without copying it. Returns `None` while the connection is
+    /// down.
     pub(crate) fn with_connection<T>(&self, read: impl FnOnce(&Connected) -> T) -> Option<T> {
         self.connected.borrow().as_ref().map(read)
     }
--- a/crates/entry/src/mesh/links.rs
+++ b/crates/entry/src/mesh/links.rs
@@ -67,7 +67,7 @@
 
     /// Opens and closes connections so that they match the host list.
     pub(crate) fn reconcile(&self, shared: &Arc<Shared>, hosts: Vec<HostEntry>) {
-        let wanted = wanted_hosts(shared, &hosts);
+        let wanted = wanted(shared, &hosts);
         let mut inner = self.inner.write();
         inner.by_host.retain(|host, link| {
             let is_kept = wanted.get(host) == Some(&link.addr);
@@ -82,8 +82,8 @@
         inner.hosts = hosts;
     }
 
-    /// Connects to the seed addresses in the settings, which are used until the host list has been read. Their host ids
-    /// are not known yet and are derived from the addresses.
+    /// Connects to the seed addresses in the settings, which are used until the host list has been
+    /// read. Their host ids are not known yet and are derived from the addresses.
     pub(crate) fn connect_seeds(&self, shared: &Arc<Shared>) {
         let mut inner = self.inner.write();
         for seed in &shared.settings.placement.seed_addrs {
@@ -108,9 +108,9 @@
     link
 }
 
-/// The upstream hosts to connect to: a subset for each target. Includes hosts that are leaving, since requests may still
-/// run there.
-fn wanted_hosts(shared: &Shared, hosts: &[HostEntry]) -> BTreeMap<HostId, SocketAddr> {
+/// The upstream hosts to connect to: a subset for each target. Includes hosts that are leaving, since
+/// requests may still run there.
+fn wanted(shared: &Shared, hosts: &[HostEntry]) -> BTreeMap<HostId, SocketAddr> {
     let upstreams: Vec<_> = hosts.iter().filter(|h| h.role == HostRole::Upstream).collect();
     let targets: BTreeSet<_> = upstreams.iter().flat_map(|host| &host.serves).collect();
     let mut chosen = BTreeSet::new();
--- a/crates/entry/src/mesh/mod.rs
+++ b/crates/entry/src/mesh/mod.rs
@@ -1,7 +1,7 @@
 //! The connections to sidecars.
 //!
-//! `links` keeps the set of connections in line with the host list, `link` runs one of them, and `waiters`
-//! passes its messages to the requests that wait for them.
+//! `links` keeps the set of connections in line with the host list, `link` runs one of them, and
+//! `waiters` passes its messages to the requests that wait for them.
 
 mod event;
 mod link;
--- a/crates/entry/src/mesh/waiters.rs
+++ b/crates/entry/src/mesh/waiters.rs
@@ -15,8 +15,8 @@
 pub(crate) struct Waiters {
     last_probe_id: u64,
     probes: HashMap<u64, oneshot::Sender<ProbeReply>>,
-    /// Unbounded: the sidecar buffers as much of each response as it has sent, so a slow caller uses at most the memory
-    /// of its own response.
+    /// Unbounded: the sidecar buffers as much of each response as it has sent, so a slow caller uses at
+    /// most the memory of its own response.
     attempts: HashMap<AttemptId, mpsc::UnboundedSender<AttemptEvent>>,
     bills: HashMap<RequestId, oneshot::Sender<()>>,
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What an entry counts.
+//! The metrics of an entry.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -8,13 +8,13 @@
 use prometheus_client::metrics::histogram::exponential_buckets;
 use stallhoist_telemetry::MetricsPage;
 
-/// The label of a request's end.
+/// The label with the outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct OutcomeLabel {
     pub(crate) outcome: String,
 }
 
-/// What an entry counts.
+/// The metrics of an entry.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     pub(crate) requests: Family<OutcomeLabel, Counter>,
--- a/crates/entry/src/operators/dump.rs
+++ b/crates/entry/src/operators/dump.rs
@@ -1,4 +1,4 @@
-//! The state of an entry, as its dump shows it.
+//! The state dump of an entry.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::mesh::Link;
 use crate::shared::Shared;
 
-/// One connection, as the dump shows it.
+/// The state of one connection.
 #[derive(Debug, Serialize)]
 pub(crate) struct LinkDump {
     host: HostId,
@@ -26,7 +26,7 @@
     control_sent_bytes: Option<u64>,
 }
 
-/// The whole state.
+/// The state of the entry.
 #[derive(Debug, Serialize)]
 pub(crate) struct StateDump {
     role: &'static str,
@@ -39,7 +39,8 @@
     unsettled_bills: usize,
     unreleased_claims: usize,
     listed_hosts: usize,
-    /// Among how many entries the limits of rows are divided; none before the first list.
+    /// The number of entries among which the limits of rows are divided; `None` before the first host
+    /// list.
     listed_entries: Option<usize>,
     ejected: Vec<HostId>,
     holds: Vec<Hold>,
--- a/crates/entry/src/operators/mod.rs
+++ b/crates/entry/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' interface of an entry.
+//! The HTTP interface for operators.
 
 mod dump;
 mod routes;
--- a/crates/entry/src/operators/routes.rs
+++ b/crates/entry/src/operators/routes.rs
@@ -1,4 +1,4 @@
-//! The operators' routes.
+//! The HTTP routes for operators, except for those of the table.
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
 
 type Entry = State<Arc<Shared>>;
 
-/// An error that an operator sees.
+/// An error response to an operator.
 #[derive(Debug, Serialize)]
 pub(crate) struct OperatorError {
     pub(crate) error: String,
@@ -82,11 +82,11 @@
     Json(dump::dump(entry))
 }
 
-/// What the guard holds back.
+/// The versions that the guard holds back.
 #[derive(Debug, Serialize)]
 struct Holds {
     holds: Vec<Hold>,
-    /// Upstreams that fail while their version does not.
+    /// Upstreams that fail although their version does not fail elsewhere.
     sick_upstreams: Vec<(HostId, ModelVersion)>,
 }
 
@@ -96,7 +96,7 @@
     Json(Holds { holds: guard.holds(), sick_upstreams: guard.sick_upstreams() })
 }
 
-/// The bill of some hours.
+/// The bill of a range of hours.
 #[derive(Debug, Serialize)]
 struct Bill {
     lines: Vec<BillLine>,
--- a/crates/entry/src/operators/table_routes.rs
+++ b/crates/entry/src/operators/table_routes.rs
@@ -1,4 +1,4 @@
-//! The operators' routes of the table.
+//! The HTTP routes for the table: reading, editing, history and progress of a revision.
 
 use std::sync::Arc;
 
@@ -30,17 +30,17 @@
     routes![table, edit, history, progress]
 }
 
-/// How far an edit is.
+/// The durability of an edit.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 enum EditStatus {
-    /// Committed, and held in another zone: it cannot be lost any more.
+    /// Committed and held in another availability zone, so that it cannot be lost.
     Accepted,
-    /// Committed; no other zone is known to hold it yet.
+    /// Committed, but not yet known to be held in another availability zone.
     Committed,
 }
 
-/// The answer to an edit that was committed.
+/// The response to an edit that was committed.
 #[derive(Debug, Serialize)]
 struct EditReply {
     status: EditStatus,
@@ -48,7 +48,7 @@
     progress: InForce,
 }
 
-/// The answer to an edit that was not.
+/// The response to an edit that was not committed.
 #[derive(Debug, Serialize)]
 struct EditRefusal {
     error: String,
@@ -57,7 +57,7 @@
 
 #[get("/v1/table")]
 fn table(_key: OperatorsKey, entry: &Entry) -> Result<Json<Table>, (Status, Json<OperatorError>)> {
-    let error = || OperatorError { error: "no table is in force yet".to_owned() };
+    let error = || OperatorError { error: "no table is active yet".to_owned() };
     let table = entry.table.current();
     let table = table.ok_or_else(|| (Status::ServiceUnavailable, Json(error())))?;
     Ok(Json(table.as_ref().clone()))
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -1,5 +1,5 @@
-//! The life of an entry: it serves, it leaves while the balancer still sends to it, it
-//! drains, it is gone.
+//! The life cycle of an entry process. It serves, then leaves (reports that it is not ready, but still
+//! accepts requests from the load balancer), then drains, then stops.
 
 use std::marker::PhantomData;
 use std::net::SocketAddr;
@@ -22,12 +22,12 @@
 use crate::operators;
 use crate::shared::Shared;
 
-/// How long replies that were handed to the server are given to go out.
+/// How long the HTTP servers may take to send their last responses.
 const STOP_LINGER: Duration = Duration::from_millis(200);
 const CHECK_EVERY: Duration = Duration::from_millis(20);
 const LAST_FLUSH_PAUSE: Duration = Duration::from_millis(200);
 
-/// Why an entry did not start.
+/// Why an entry could not be started.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum EntryError {
     /// '{0}' is not an IP address with a port
@@ -36,20 +36,20 @@
     Server(#[from] ServerError),
 }
 
-/// The state of an entry that takes requests.
+/// The state of an entry that accepts requests.
 #[derive(Debug)]
 pub struct Serving;
 
-/// The state of an entry that says it is not ready, but still takes requests, since
-/// the balancer learns late.
+/// The state of an entry that reports that it is not ready, but still accepts requests, since the load
+/// balancer notices with a delay.
 #[derive(Debug)]
 pub struct Leaving;
 
-/// The state of an entry that takes no connections and finishes what it has.
+/// The state of an entry that accepts no connections and finishes the requests in progress.
 #[derive(Debug)]
 pub struct Draining;
 
-/// A running entry. Its type says where in its life it is.
+/// A running entry. The type parameter is its state.
 #[derive(Debug)]
 pub struct Entry<State = Serving> {
     shared: Arc<Shared>,
@@ -63,7 +63,7 @@
     /// Starts an entry.
     ///
     /// # Errors
-    /// Fails when an address cannot be listened on.
+    /// Fails if an address is invalid or cannot be listened on.
     pub async fn start(settings: EntrySettings) -> Result<Self, EntryError> {
         let callers_addr = parse_addr(&settings.callers_addr)?;
         let operators_addr = parse_addr(&settings.operators_addr)?;
@@ -95,7 +95,7 @@
         Ok(Self { shared, callers, operators, tasks, state: PhantomData })
     }
 
-    /// Says that it is not ready any more; requests are still taken.
+    /// Reports that the entry is no longer ready. Requests are still accepted.
     pub fn leave(self) -> Entry<Leaving> {
         self.shared.set_leaving();
         self.shared.links.broadcast(&Body::Status(self.shared.status()));
@@ -105,7 +105,7 @@
 }
 
 impl Entry<Leaving> {
-    /// Waits until the balancer has learnt of it, then takes no more connections.
+    /// Waits until the load balancer has noticed, then accepts no more connections.
     pub async fn wait_for_balancer(self) -> Entry<Draining> {
         let lag = Duration::from_millis(self.shared.settings.timing.stop_lag_ms);
         tokio::time::sleep(lag).await;
@@ -115,8 +115,8 @@
 }
 
 impl Entry<Draining> {
-    /// Finishes requests in progress, settles the bill, and ends; within the grace of
-    /// the settings.
+    /// Finishes the requests in progress, writes the bill records to the ledger, and stops. Gives up on
+    /// both after the grace period of the settings.
     pub async fn finish(mut self) {
         let grace = Duration::from_millis(self.shared.settings.timing.stop_grace_ms);
         if tokio::time::timeout(grace, self.settle()).await.is_err() {
@@ -149,12 +149,12 @@
 }
 
 impl<State> Entry<State> {
-    /// Where callers connect to.
+    /// The address for callers.
     pub fn callers_addr(&self) -> SocketAddr {
         self.callers.addr()
     }
 
-    /// Where operators connect to.
+    /// The address for operators.
     pub fn operators_addr(&self) -> SocketAddr {
         self.operators.addr()
     }
--- a/crates/entry/src/ratings.rs
+++ b/crates/entry/src/ratings.rs
@@ -1,6 +1,7 @@
 //! Has a sample of the responses rated by the platform's rating service.
 //!
-//! A rating is counted at the sidecar that served the request, which collects all counts about its version.
+//! A rating is counted at the sidecar that served the request, which collects all counts about its
+//! version.
 
 use std::sync::Arc;
 
@@ -19,7 +20,8 @@
 /// The lowest score of a good response; a lower one is poor.
 const GOOD_SCORE: f64 = 0.5;
 
-/// Has a complete response rated if it is sampled. Runs in the background, so that the caller does not wait.
+/// Has a complete response rated if it is sampled. Runs in the background, so that the caller does not
+/// wait.
 pub(crate) fn sample(shared: &Arc<Shared>, order: &Order, host: &HostId, chunks: &[Bytes]) {
     if !is_sampled(shared, order) {
         return;
@@ -34,7 +36,8 @@
     });
 }
 
-/// Whether a response is sampled. Every response is, if its model may be used in a cascade and has too few ratings.
+/// Whether a response is sampled. Every response is, if its model may be used in a cascade and has too
+/// few ratings.
 fn is_sampled(shared: &Shared, order: &Order) -> bool {
     let percent = shared.settings.ratings.sample_percent;
     if rand::random_bool((percent / 100.0).clamp(0.0, 1.0)) {
@@ -49,7 +52,8 @@
     may_cascade && shared.learners.lock().learner(&order.kind()).needs_ratings(model)
 }
 
-/// Has a response rated and counted. Returns whether it is good, or `None` if the rating service did not respond.
+/// Has a response rated and counted. Returns whether it is good, or `None` if the rating service did
+/// not respond.
 pub(crate) async fn rate(
     shared: &Shared,
     order: &Order,
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -37,7 +37,8 @@
 }
 
 impl Drop for Attempt {
-    /// Cancels the attempt if it still runs; if it has finished, lets the sidecar free the buffered response.
+    /// Cancels the attempt if it still runs; if it has finished, lets the sidecar free the buffered
+    /// response.
     fn drop(&mut self) {
         self.link.drop_attempt(self.id);
         let cancel = Cancel { attempt: attempt_to_wire(self.id) };
--- a/crates/entry/src/request/execution.rs
+++ b/crates/entry/src/request/execution.rs
@@ -1,4 +1,5 @@
-//! The state machine of one request: attempts, lost connections, resumes, retries, and exactly one result.
+//! The state machine of one request: attempts, lost connections, resumes, retries, and exactly one
+//! result.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -105,7 +106,8 @@
         self.bill.as_ref()
     }
 
-    /// Runs the request to its end and returns the response. Chunks of an attempt that was retried are discarded.
+    /// Runs the request to its end and returns the response. Chunks of an attempt that was retried are
+    /// discarded.
     pub(crate) async fn run_buffered(&mut self) -> BufferedResponse {
         let mut head = None;
         let mut chunks: Vec<Bytes> = Vec::new();
@@ -121,7 +123,8 @@
         }
     }
 
-    /// Returns the next step of a streamed response. Once a chunk was returned, the request is no longer retried.
+    /// Returns the next step of a streamed response. Once a chunk was returned, the request is no
+    /// longer retried.
     pub(crate) async fn next(&mut self) -> Step {
         let step = self.step().await;
         if matches!(step, Step::Chunk(_)) {
@@ -202,7 +205,8 @@
         let link = self.shared.links.get(&host).ok_or_else(no_upstream)?;
         let connected = link.connected().ok_or_else(no_upstream)?;
         self.progress.sent();
-        // The second model of a cascade continues the numbering, so that its bill record replaces the first.
+        // The second model of a cascade continues the numbering, so that its bill record replaces the
+        // first.
         let number = AttemptNumber(u64::from(self.order.prior.attempts + self.progress.attempts()));
         let id = AttemptId { request: self.order.request, number };
         let events = link.waiters.lock().add_attempt(id);
@@ -307,8 +311,8 @@
         Ok(self.end(EndKind::Whole))
     }
 
-    /// Asks the sidecar for the attempt's state after the connection broke. Only the same incarnation of the same
-    /// sidecar knows it.
+    /// Asks the sidecar for the attempt's state after the connection broke. Only the same incarnation
+    /// of the same sidecar knows it.
     async fn recover(&mut self) -> Result<(), AttemptEnd> {
         let Some(attempt) = self.attempt.as_mut() else {
             return Err(AttemptEnd::Unknown);
--- a/crates/entry/src/request/mod.rs
+++ b/crates/entry/src/request/mod.rs
@@ -1,8 +1,9 @@
 //! Executes one request: placement, attempts, resumes, retries and the final result.
 //!
-//! Start with `order` (a validated request), then `place` (choosing an upstream host) and `execution` (the
-//! state machine). `attempt` and `attempt_end` hold the state and the result of a single attempt, `request_end`
-//! the result of the request. A request is reported as not run only if no attempt can have run.
+//! Start with `order` (a validated request), then `place` (choosing an upstream host) and `execution`
+//! (the state machine). `attempt` and `attempt_end` hold the state and the result of a single attempt,
+//! `request_end` the result of the request. A request is reported as not run only if no attempt can
+//! have run.
 
 mod attempt;
 mod attempt_end;
--- a/crates/entry/src/request/order.rs
+++ b/crates/entry/src/request/order.rs
@@ -102,8 +102,8 @@
         WorkKind { workspace: self.workspace.clone(), task: self.task.clone() }
     }
 
-    /// The key that routes equal requests to the same upstreams: the hash of the prompt's first block, or the work
-    /// key if there is none.
+    /// The key that routes equal requests to the same upstreams: the hash of the prompt's first block,
+    /// or the work key if there is none.
     pub(crate) fn affinity_key(&self) -> u64 {
         let first_block = self.prefix.as_ref().and_then(|prefix| prefix.mark_hashes.first());
         first_block.copied().unwrap_or(self.work_key)
--- a/crates/entry/src/request/place.rs
+++ b/crates/entry/src/request/place.rs
@@ -47,8 +47,8 @@
         return Choice::Send(probed[0].clone());
     }
     match choose(&candidates, &mut rand::rng()) {
-        // A probe reserves no slot. The request is sent all the same to the host that the caller's retry will be
-        // routed to: that host reserves a slot for the retry, or has a free one by now.
+        // A probe reserves no slot. The request is sent all the same to the host that the caller's
+        // retry will be routed to: that host reserves a slot for the retry, or has a free one by now.
         Choice::Refuse { .. } if avoid.is_empty() => {
             match affinity_order(affinity_key, &usable).first() {
                 Some(host) => Choice::Send((*host).clone()),
--- a/crates/entry/src/request/request_end.rs
+++ b/crates/entry/src/request/request_end.rs
@@ -16,8 +16,8 @@
     UpstreamError { http_status: u16, content_type: String, body: Vec<u8> },
     /// The response is incomplete, and the request was not retried.
     Truncated { detail: String },
-    /// The deadline passed before the response was complete. `has_started` says whether the response had
-    /// started; if not, the request may or may not have run.
+    /// The deadline passed before the response was complete. `has_started` says whether the response
+    /// had started; if not, the request may or may not have run.
     DeadlinePassed { has_started: bool },
     /// Whether the request ran cannot be determined.
     Unknown,
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -1,4 +1,4 @@
-//! Sessions without a store: a signed token says which version a session is on.
+//! Stateless sessions: a signed token holds the version that a session is pinned to.
 
 use std::fmt;
 
@@ -19,46 +19,47 @@
 const SEPARATOR: char = '.';
 const KEY_ID_LEN: usize = 8;
 
-/// Why a session token was refused.
+/// Why a session token was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Display, thiserror::Error)]
 pub enum SessionTokenError {
     /// the session token is malformed
     Malformed,
     /// the session token is signed with a key that is not in use
     UnknownKey,
-    /// the session token's signature does not fit
+    /// the session token's signature is wrong
     WrongSignature,
     /// the session belongs to another workspace
     OtherWorkspace,
 }
 
-/// What a session token says.
+/// The contents of a session token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionToken {
-    /// Whose session it is.
+    /// The workspace that the session belongs to.
     pub workspace: WorkspaceName,
-    /// What it is on.
+    /// The version or service that the session is pinned to.
     pub target: Target,
-    /// Where its last answer came from.
+    /// The upstream host that served the last response.
     pub host: HostId,
 }
 
-/// The keys that sign and check session tokens.
+/// The keys for signing and verifying session tokens.
 #[derive(Clone)]
 pub struct SessionKeys {
     keys: Vec<(String, Hmac<Sha256>)>,
 }
 
 impl SessionKeys {
-    /// Keys, of which the first signs and all are accepted.
+    /// Creates the keys from their secrets. The first key signs, and all keys are accepted.
     ///
     /// # Panics
-    /// Panics when there is none; settings are checked for that.
+    /// Panics if there are no secrets, which the validation of the settings rules out.
     pub fn new(secrets: &[Secret]) -> Self {
-        assert!(!secrets.is_empty(), "settings hold at least one session key");
+        assert!(!secrets.is_empty(), "the settings contain at least one session key");
         let key = |secret: &Secret| {
             let bytes = secret.reveal().as_bytes();
-            let mac = Hmac::<Sha256>::new_from_slice(bytes).expect("any key length is taken");
+            let mac =
+                Hmac::<Sha256>::new_from_slice(bytes).expect("HMAC accepts keys of any length");
             (key_id(&mac), mac)
         };
         Self { keys: secrets.iter().map(key).collect() }
@@ -66,17 +67,17 @@
 
     /// Signs a token.
     pub fn sign(&self, token: &SessionToken) -> String {
-        let payload = serde_json::to_vec(token).expect("a session token is plain data");
+        let payload = serde_json::to_vec(token).expect("a session token can be serialized");
         let payload = URL_SAFE_NO_PAD.encode(payload);
         let (id, mac) = &self.keys[0];
         let signature = URL_SAFE_NO_PAD.encode(signature(mac, &payload));
         format!("{id}{SEPARATOR}{payload}{SEPARATOR}{signature}")
     }
 
-    /// Checks a token and reads it.
+    /// Verifies and decodes a token.
     ///
     /// # Errors
-    /// Fails unless it was signed with one of the keys, for this workspace.
+    /// Fails unless the token was signed with one of the keys and for this workspace.
     pub fn check(
         &self,
         text: &str,
@@ -115,7 +116,7 @@
     mac.finalize().into_bytes().to_vec()
 }
 
-/// A name for a key that does not give it away.
+/// An id of a key that does not reveal the key.
 fn key_id(mac: &Hmac<Sha256>) -> String {
     let mut id = URL_SAFE_NO_PAD.encode(signature(mac, "key id"));
     id.truncate(KEY_ID_LEN);
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of an entry share.
+//! The state that all tasks of an entry share.
 
 use std::collections::HashMap;
 use std::sync::atomic::AtomicBool;
@@ -36,7 +36,7 @@
 use crate::metrics::Metrics;
 use crate::session::SessionKeys;
 
-/// What all tasks of an entry share. The crate's page states the lock order.
+/// The state that all tasks of an entry share. The lock order is documented at the crate.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: EntrySettings,
@@ -51,14 +51,14 @@
     pub(crate) ledger: Ledger,
     pub(crate) links: Links,
     pub(crate) bills: Mutex<PendingBills>,
-    /// The highest revision each host is known to have in force.
+    /// The highest revision that is known to be active on each host.
     pub(crate) holders: watch::Sender<HashMap<HostId, Revision>>,
     pub(crate) retries: Mutex<RetryBudget>,
     pub(crate) ejection: Mutex<Ejection>,
     pub(crate) guard: Mutex<Guard>,
     pub(crate) learners: Mutex<Learners>,
     pub(crate) limits: Mutex<FleetLimits>,
-    /// Claims that may stand in the store though nothing ran for them.
+    /// Claims that may be stored although their request did not run, and that must be released.
     pub(crate) unreleased: Mutex<Vec<PendingClaim>>,
     pub(crate) metrics: Metrics,
     pub(crate) in_flight: AtomicUsize,
@@ -66,7 +66,7 @@
 }
 
 impl Shared {
-    /// Must be called on a runtime, since the claims' writer starts here.
+    /// Must be called on a Tokio runtime, since it spawns the writer of claims.
     pub(crate) fn new(settings: EntrySettings) -> Self {
         let call_timeout = Duration::from_millis(settings.platform.call_timeout_ms);
         let platform = PlatformClient::new(&settings.platform.url, call_timeout);
@@ -121,7 +121,7 @@
         self.is_leaving.store(true, Ordering::SeqCst);
     }
 
-    /// What this entry tells its sidecars of itself.
+    /// The status that this entry sends to its sidecars.
     pub(crate) fn status(&self) -> Status {
         Status {
             revision: self.table.revision().0,
--- a/crates/entry/src/table_sync.rs
+++ b/crates/entry/src/table_sync.rs
@@ -29,8 +29,8 @@
 
 use crate::shared::Shared;
 
-/// How long a committed edit waits until another availability zone holds it. After that it is reported as only
-/// committed.
+/// How long a committed edit waits until another availability zone holds it. After that it is reported
+/// as only committed.
 const ACCEPT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The hosts on which a revision is active, as far as this entry knows.
@@ -45,8 +45,8 @@
     pub(crate) missing: Vec<HostId>,
 }
 
-/// Commits an edit, activates it on this entry, distributes it, and waits until another availability zone holds it. The
-/// returned flag says whether one did: only then is the edit accepted.
+/// Commits an edit, activates it on this entry, distributes it, and waits until another availability
+/// zone holds it. The returned flag says whether one did: only then is the edit accepted.
 ///
 /// # Errors
 /// Fails if the edit conflicts or is invalid, or if the store does not confirm it.
@@ -160,7 +160,8 @@
     Ok(())
 }
 
-/// Applies a committed edit that was received. Requests a snapshot from the sender if an earlier edit is missing.
+/// Applies a committed edit that was received. Requests a snapshot from the sender if an earlier edit
+/// is missing.
 ///
 /// # Errors
 /// Fails if the message cannot be decoded.
