--- a/tests/all/callers.rs
+++ b/tests/all/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' contract: every request ends in one clear answer.
+//! The interface for callers: every request gets exactly one response with a clear outcome.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -29,10 +29,10 @@
     }
 }
 
-/// A request that must be refused before anything is routed.
-async fn refused(make: impl Fn(&Caller) -> RequestBuilder, status: u16, code: &str) {
+/// Checks that a request is rejected before it is routed to an upstream.
+async fn rejected(make: impl Fn(&Caller) -> RequestBuilder, status: u16, code: &str) {
     let fleet = Fleet::start(small_plan()).await;
-    let answer = send(make(&fleet.caller(0))).await.expect("an answer");
+    let answer = send(make(&fleet.caller(0))).await.expect("a response");
     assert_eq!((answer.status, answer.code().as_str()), (status, code), "{answer:?}");
     assert_eq!(answer.outcome, "not-run");
     assert!(fleet.engines[0].executions().is_empty());
@@ -43,31 +43,34 @@
     caller.request(Method::POST, "/v1/chat/completions").body(body)
 }
 
-case!(malformed_json, refused(|c| raw_chat(c, "{\"model\": \"m\", "), 400, "malformed-body"));
-case!(body_without_messages, refused(|c| raw_chat(c, "{\"model\": \"m\"}"), 400, "malformed-body"));
+case!(malformed_json, rejected(|c| raw_chat(c, "{\"model\": \"m\", "), 400, "malformed-body"));
+case!(
+    body_without_messages,
+    rejected(|c| raw_chat(c, "{\"model\": \"m\"}"), 400, "malformed-body")
+);
 case!(
     body_that_is_not_text,
-    refused(|c| raw_chat(c, vec![0xff, 0xfe, 0x00]), 400, "malformed-body")
+    rejected(|c| raw_chat(c, vec![0xff, 0xfe, 0x00]), 400, "malformed-body")
 );
-case!(oversized_body, refused(|c| raw_chat(c, vec![b' '; BODY_BOUND + 1]), 413, "body-too-large"));
+case!(oversized_body, rejected(|c| raw_chat(c, vec![b' '; BODY_BOUND + 1]), 413, "body-too-large"));
 case!(
     oversized_service_body,
-    refused(|c| c.call("ledger", "fund", "k", &"x".repeat(BODY_BOUND + 1)), 413, "body-too-large")
+    rejected(|c| c.call("ledger", "fund", "k", &"x".repeat(BODY_BOUND + 1)), 413, "body-too-large")
 );
-case!(unknown_model, refused(|c| c.chat("nobody", "x", 2, false), 404, "unknown-model"));
-case!(unknown_version, refused(|c| c.chat("m@v9", "x", 2, false), 404, "unknown-model"));
-case!(model_that_is_no_name, refused(|c| c.chat("a b", "x", 2, false), 404, "unknown-model"));
-case!(unknown_service, refused(|c| c.call("nobody", "x", "", ""), 404, "unknown-service"));
-case!(unknown_path, refused(|c| c.request(Method::GET, "/v2/chat"), 404, "no-such-path"));
+case!(unknown_model, rejected(|c| c.chat("nobody", "x", 2, false), 404, "unknown-model"));
+case!(unknown_version, rejected(|c| c.chat("m@v9", "x", 2, false), 404, "unknown-model"));
+case!(model_that_is_no_name, rejected(|c| c.chat("a b", "x", 2, false), 404, "unknown-model"));
+case!(unknown_service, rejected(|c| c.call("nobody", "x", "", ""), 404, "unknown-service"));
+case!(unknown_path, rejected(|c| c.request(Method::GET, "/v2/chat"), 404, "no-such-path"));
 case!(
     wrong_key,
-    refused(|c| c.clone().with_key("nobody's").chat("m", "x", 2, false), 401, "wrong-key")
+    rejected(|c| c.clone().with_key("nobody's").chat("m", "x", 2, false), 401, "wrong-key")
 );
 case!(
     wrong_key_of_a_service,
-    refused(|c| c.clone().with_key("nobody's").call("ledger", "fund", "k", ""), 401, "wrong-key")
+    rejected(|c| c.clone().with_key("nobody's").call("ledger", "fund", "k", ""), 401, "wrong-key")
 );
-case!(missing_key, refused(|c| c.clone().with_key("").chat("m", "x", 2, false), 401, "wrong-key"));
+case!(missing_key, rejected(|c| c.clone().with_key("").chat("m", "x", 2, false), 401, "wrong-key"));
 
 fn with_header(caller: &Caller, name: &str, value: &str) -> RequestBuilder {
     caller.chat("m", "x", 2, false).header(name, value)
@@ -75,27 +78,27 @@
 
 case!(
     deadline_that_is_no_number,
-    refused(|c| with_header(c, "Stallhoist-Deadline-Ms", "soon"), 400, "bad-header")
+    rejected(|c| with_header(c, "Stallhoist-Deadline-Ms", "soon"), 400, "bad-header")
 );
 case!(
     deadline_of_nothing,
-    refused(|c| with_header(c, "Stallhoist-Deadline-Ms", "0"), 400, "bad-header")
+    rejected(|c| with_header(c, "Stallhoist-Deadline-Ms", "0"), 400, "bad-header")
 );
 case!(
     deadline_beyond_the_bound,
-    refused(|c| with_header(c, "Stallhoist-Deadline-Ms", "99999999999"), 400, "bad-header")
+    rejected(|c| with_header(c, "Stallhoist-Deadline-Ms", "99999999999"), 400, "bad-header")
 );
 case!(
     repeatable_that_is_neither,
-    refused(|c| with_header(c, "Stallhoist-Repeatable", "maybe"), 400, "bad-header")
+    rejected(|c| with_header(c, "Stallhoist-Repeatable", "maybe"), 400, "bad-header")
 );
 case!(
     idempotency_key_that_is_none,
-    refused(|c| with_header(c, "Idempotency-Key", "a b c"), 400, "bad-header")
+    rejected(|c| with_header(c, "Idempotency-Key", "a b c"), 400, "bad-header")
 );
 case!(
     session_that_is_none,
-    refused(|c| with_header(c, "Stallhoist-Session", "a.b"), 400, "bad-header")
+    rejected(|c| with_header(c, "Stallhoist-Session", "a.b"), 400, "bad-header")
 );
 
 fn slow_engine() -> Plan {
@@ -105,14 +108,14 @@
     }
 }
 
-case!(the_deadline_ends_it_at_once, async {
+case!(deadline_ends_the_request_at_once, async {
     let fleet = Fleet::start(slow_engine()).await;
     let call = fleet.caller(0).chat("m", "x", 1000, false).header("Stallhoist-Deadline-Ms", "300");
     let began = Instant::now();
-    let answer = send(call).await.expect("an answer");
+    let answer = send(call).await.expect("a response");
     assert_eq!(answer.status, 504, "{answer:?}");
     assert!(began.elapsed() < Duration::from_secs(2));
-    wait_until("the engine's work is cancelled", || async {
+    wait_until("the engine cancels the request", || async {
         let executions = fleet.engines[0].executions();
         executions.iter().all(|execution| execution.tokens < 200)
             && fleet.sidecar_state(0).await["in_flight_requests"] == 0
@@ -120,13 +123,13 @@
     .await;
 });
 
-case!(a_streaming_caller_that_goes_away_frees_the_engine_at_once, async {
+case!(disconnect_of_a_streaming_caller_cancels_the_request, async {
     let fleet = Fleet::start(slow_engine()).await;
     let response = fleet.caller(0).chat("m", "x", 1000, true).send().await.expect("it begins");
-    let mut parts = response.bytes_stream();
-    parts.next().await.expect("a part").expect("a part comes whole");
-    drop(parts);
-    wait_until("the work is cancelled", || async {
+    let mut chunks = response.bytes_stream();
+    chunks.next().await.expect("a chunk").expect("a complete chunk");
+    drop(chunks);
+    wait_until("the request is cancelled", || async {
         let executions = format!("{:?}", fleet.engines[0].executions());
         executions.contains("Cancelled")
             && fleet.sidecar_state(0).await["in_flight_requests"] == 0
@@ -135,32 +138,32 @@
     .await;
 });
 
-case!(a_slow_caller_gets_its_whole_answer_and_holds_up_nobody, async {
+case!(slow_caller_gets_a_complete_response_and_delays_no_others, async {
     let fleet = Fleet::start(small_plan()).await;
     let response = fleet.caller(0).chat("m", "x", 500, true).send().await.expect("it begins");
-    let mut parts = response.bytes_stream();
+    let mut chunks = response.bytes_stream();
     let mut body = String::new();
-    while let Some(Ok(part)) = parts.next().await {
-        body.push_str(&String::from_utf8_lossy(&part));
-        // Another caller is served between any two parts.
+    while let Some(Ok(chunk)) = chunks.next().await {
+        body.push_str(&String::from_utf8_lossy(&chunk));
+        // Another caller is served between any two chunks.
         if body.len() < 2_000 {
-            let other = send(fleet.caller(0).chat("m", "y", 2, false)).await.expect("an answer");
+            let other = send(fleet.caller(0).chat("m", "y", 2, false)).await.expect("a response");
             assert_eq!(other.outcome, "completed");
         }
     }
     assert!(body.contains("w499") && body.contains("[DONE]"));
 });
 
-case!(a_caller_that_sends_half_a_request_is_not_waited_for_by_others, async {
+case!(incomplete_request_does_not_delay_other_callers, async {
     let fleet = Fleet::start(small_plan()).await;
     let addr = fleet.entries[0].addr("callers_addr");
     let mut stream = TcpStream::connect(addr).await.expect("connects");
     stream.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n").await.expect("sends");
-    let other = send(fleet.caller(0).chat("m", "y", 2, false)).await.expect("an answer");
+    let other = send(fleet.caller(0).chat("m", "y", 2, false)).await.expect("a response");
     assert_eq!(other.outcome, "completed");
 });
 
-case!(oversized_headers_are_refused, async {
+case!(oversized_headers_are_rejected, async {
     let fleet = Fleet::start(small_plan()).await;
     let addr = fleet.entries[0].addr("callers_addr");
     let mut stream = TcpStream::connect(addr).await.expect("connects");
@@ -170,11 +173,11 @@
     let mut reply = Vec::new();
     let _ = stream.read_to_end(&mut reply).await;
     assert!(!String::from_utf8_lossy(&reply).starts_with("HTTP/1.1 200"));
-    let other = send(fleet.caller(0).chat("m", "y", 2, false)).await.expect("an answer");
+    let other = send(fleet.caller(0).chat("m", "y", 2, false)).await.expect("a response");
     assert_eq!(other.outcome, "completed");
 });
 
-case!(too_many_at_once_are_told_when_to_come_back, async {
+case!(too_many_concurrent_requests_are_rejected_with_a_retry_delay, async {
     let mut plan = slow_engine();
     plan.entry_settings.push(("callers", "max_in_flight_requests", 1.into()));
     let fleet = Fleet::start(plan).await;
@@ -183,25 +186,25 @@
         fleet.entry_state(0).await["in_flight_requests"] == 1
     })
     .await;
-    let second = send(fleet.caller(0).chat("m", "y", 2, false)).await.expect("an answer");
+    let second = send(fleet.caller(0).chat("m", "y", 2, false)).await.expect("a response");
     assert_eq!((second.status, second.outcome.as_str()), (429, "not-run"));
     assert!(second.retry_after.is_some());
-    assert_eq!(first.await.expect("it ends").expect("an answer").outcome, "completed");
+    assert_eq!(first.await.expect("it ends").expect("a response").outcome, "completed");
 });
 
-case!(the_upstreams_word_on_a_bad_request_reaches_the_caller, async {
+case!(client_error_from_the_upstream_reaches_the_caller, async {
     let fleet = Fleet::start(small_plan()).await;
     let body = r#"{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":"many"}"#;
-    let answer: Answer = send(raw_chat(&fleet.caller(0), body)).await.expect("an answer");
+    let answer: Answer = send(raw_chat(&fleet.caller(0), body)).await.expect("a response");
     assert_eq!(answer.status, 400, "{answer:?}");
 });
 
-case!(a_failing_engine_is_tried_elsewhere, async {
+case!(requests_of_a_failing_engine_are_retried_on_another, async {
     let fleet = Fleet::start(Plan { engines: vec!["m@v1", "m@v1"], ..small_plan() }).await;
     fleet.engines[0]
         .set_switches(EngineSwitches { fail_percent: 100, ..EngineSwitches::default() });
     for _ in 0..20 {
-        let answer = send(fleet.caller(0).chat("m", "x", 2, false)).await.expect("an answer");
+        let answer = send(fleet.caller(0).chat("m", "x", 2, false)).await.expect("a response");
         assert_eq!(answer.outcome, "completed", "{answer:?}");
     }
 });
@@ -209,12 +212,12 @@
 case!(no_key_reaches_the_logs, async {
     let fleet = Fleet::start(small_plan()).await;
     for stream in [false, true] {
-        send(fleet.caller(0).chat("m", "x", 2, stream)).await.expect("an answer");
+        send(fleet.caller(0).chat("m", "x", 2, stream)).await.expect("a response");
     }
     let wrong = fleet.caller(0).with_key("a-wrong-key-that-must-not-show").chat("m", "x", 2, false);
-    send(wrong).await.expect("an answer");
+    send(wrong).await.expect("a response");
     let logs = [fleet.entries[0].log(), fleet.hosts[0].sidecar.log()].concat().join("\n");
-    assert!(logs.contains("request ended"), "there is a log to look at");
+    assert!(logs.contains("request ended"), "the log contains the requests");
     for secret in ["key-of-the-tests", "a-wrong-key-that-must-not-show"] {
         assert!(!logs.contains(secret));
     }
--- a/tests/all/operators.rs
+++ b/tests/all/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' contract, by HTTP and by the command line.
+//! The interface for operators, over HTTP and through the command line.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -50,7 +50,7 @@
     request.send().await.expect("a reply").status()
 }
 
-case!(endpoints_ask_for_the_key, async {
+case!(endpoints_require_the_key, async {
     let fleet = Fleet::start(Plan::default()).await;
     for path in ["/metrics", "/v1/state", "/v1/table", "/v1/table/history?after=0"] {
         assert_eq!(status(&fleet, path, "wrong").await, StatusCode::UNAUTHORIZED, "{path}");
@@ -75,11 +75,11 @@
 case!(set_with_a_stale_expectation_shows_both_values, async {
     let fleet = Fleet::start(Plan::default()).await;
     let args = ["table", "set", "w/m@v1/weight=7", "--expect", "w/m@v1/weight=3"];
-    let refused = stderr(&run(&fleet, &args).await);
-    assert!(refused.contains("holds '1', not the expected '3'; '7' was not written"), "{refused}");
+    let error = stderr(&run(&fleet, &args).await);
+    assert!(error.contains("holds '1', not the expected '3'; '7' was not written"), "{error}");
 });
 
-case!(set_of_nonsense_is_refused_with_what_would_be_right, async {
+case!(set_with_an_invalid_value_is_rejected_with_the_expected_format, async {
     let fleet = Fleet::start(Plan::default()).await;
     for (cell, expected) in [
         ("w/m@v1/weight=many", "a whole number from 0"),
@@ -89,8 +89,8 @@
         ("w/m@v1", "is not WORKSPACE/TARGET/COLUMN=VALUE"),
         ("w/*/weight=1", "belongs to a target"),
     ] {
-        let refused = stderr(&run(&fleet, &["table", "set", cell]).await);
-        assert!(refused.contains(expected), "{cell}: {refused}");
+        let error = stderr(&run(&fleet, &["table", "set", cell]).await);
+        assert!(error.contains(expected), "{cell}: {error}");
     }
 });
 
@@ -107,15 +107,15 @@
     let again = stdout(&run(&fleet, &["table", "import", &path]).await);
     assert!(again.contains("already holds all"), "{again}");
     std::fs::write(&file, "workspace,target,weight\nw,m@v1,lots\n").expect("can be written");
-    let refused = stderr(&run(&fleet, &["table", "import", &path]).await);
-    assert!(refused.contains("a whole number from 0"), "{refused}");
+    let error = stderr(&run(&fleet, &["table", "import", &path]).await);
+    assert!(error.contains("a whole number from 0"), "{error}");
     std::fs::remove_file(&file).expect("the sheet can be removed");
 });
 
 case!(bill_and_dump, async {
     let fleet = Fleet::start(Plan::default()).await;
     for _ in 0..3 {
-        send(fleet.caller(0).chat("m", "x", 8, false)).await.expect("an answer");
+        send(fleet.caller(0).chat("m", "x", 8, false)).await.expect("a response");
     }
     wait_until("the records are in the ledger", || async { fleet.ledger_records().len() == 3 })
         .await;
@@ -127,9 +127,9 @@
     assert!(dump.contains("\"role\": \"entry\"") && dump.contains("host-0"), "{dump}");
 });
 
-case!(metrics_tell_outcomes, async {
+case!(metrics_count_requests_by_outcome, async {
     let fleet = Fleet::start(Plan::default()).await;
-    send(fleet.caller(0).chat("m", "x", 2, false)).await.expect("an answer");
+    send(fleet.caller(0).chat("m", "x", 2, false)).await.expect("a response");
     let addr = fleet.entries[0].addr("operators_addr");
     let http = reqwest::Client::builder().no_proxy().build().expect("a client can be made");
     let request = http.get(format!("http://{addr}/metrics")).bearer_auth(operators_key());
@@ -137,41 +137,41 @@
     assert!(page.contains("stallhoist_requests_total{outcome=\"completed\"} 1"), "{page}");
 });
 
-case!(a_wrong_operators_key_is_told, async {
+case!(wrong_operators_key_is_reported, async {
     let fleet = Fleet::start(Plan::default()).await;
-    let refused = stderr(&run(&fleet, &["table", "show", "--key", "wrong"]).await);
-    assert!(refused.contains("status 401"), "{refused}");
+    let error = stderr(&run(&fleet, &["table", "show", "--key", "wrong"]).await);
+    assert!(error.contains("status 401"), "{error}");
 });
 
-case!(an_edit_in_an_outage_is_told, async {
+case!(failure_of_an_edit_during_an_outage_is_reported, async {
     let fleet = Fleet::start(Plan::default()).await;
     fleet.platform.set_faults(Faults { outage: true, ..Faults::default() });
-    let refused = stderr(&run(&fleet, &["table", "set", "w/m@v1/weight=7"]).await);
-    assert!(refused.contains("status 503"), "{refused}");
+    let error = stderr(&run(&fleet, &["table", "set", "w/m@v1/weight=7"]).await);
+    assert!(error.contains("status 503"), "{error}");
 });
 
 /// Runs a command that needs no fleet.
-fn alone(args: &[&str]) -> Output {
+fn run_without_fleet(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_stallhoist")).args(args).output().expect("the command runs")
 }
 
 #[test]
-fn check_settings_says_what_starting_would_say() {
+fn check_settings_reports_the_same_errors_as_starting() {
     let example = |name: &str| format!("{}/examples/{name}", env!("CARGO_MANIFEST_DIR"));
-    let right = stdout(&alone(&["check-settings", "entry", &example("entry.jsonc")]));
+    let right = stdout(&run_without_fleet(&["check-settings", "entry", &example("entry.jsonc")]));
     assert!(right.contains("all settings are right"), "{right}");
-    let wrong = stderr(&alone(&["check-settings", "sidecar", &example("entry.jsonc")]));
-    assert!(wrong.contains("key 'callers_addr'") && wrong.contains("unknown field"), "{wrong}");
+    let error = stderr(&run_without_fleet(&["check-settings", "sidecar", &example("entry.jsonc")]));
+    assert!(error.contains("key 'callers_addr'") && error.contains("unknown field"), "{error}");
 }
 
 #[test]
-fn completions_are_printed_for_a_shell() {
-    let bash = stdout(&alone(&["completions", "bash"]));
+fn shell_completions_are_printed() {
+    let bash = stdout(&run_without_fleet(&["completions", "bash"]));
     assert!(bash.contains("check-settings"), "{bash}");
 }
 
 #[test]
-fn an_unreachable_endpoint_is_told() {
-    let refused = stderr(&alone(&["dump", "--addr", "http://127.0.0.1:1", "--key", "k"]));
-    assert!(refused.contains("cannot reach the operators' endpoint"), "{refused}");
+fn unreachable_endpoint_is_reported() {
+    let error = stderr(&run_without_fleet(&["dump", "--addr", "http://127.0.0.1:1", "--key", "k"]));
+    assert!(error.contains("cannot reach the operators' endpoint"), "{error}");
 }
--- a/tests/all/path.rs
+++ b/tests/all/path.rs
@@ -1,4 +1,4 @@
-//! The whole path as separate processes: caller, entry, sidecar, engine or service.
+//! The request path through separate processes: caller, entry, sidecar, and engine or service.
 
 use reqwest::Method;
 
@@ -8,16 +8,16 @@
 use crate::harness::send;
 use crate::harness::wait_until;
 
-case!(whole_answer, async {
+case!(non_streaming_response, async {
     let fleet = Fleet::start(Plan::default()).await;
-    let answer = send(fleet.caller(0).chat("m", "hello", 8, false)).await.expect("an answer");
+    let answer = send(fleet.caller(0).chat("m", "hello", 8, false)).await.expect("a response");
     assert_eq!((answer.status, answer.outcome.as_str()), (200, "completed"));
     assert_eq!(answer.text(), "[m@v1] hello w2 w3 w4 w5 w6 w7");
 });
 
-case!(streamed_answer, async {
+case!(streamed_response, async {
     let fleet = Fleet::start(Plan::default()).await;
-    let answer = send(fleet.caller(0).chat("m", "hello", 8, true)).await.expect("an answer");
+    let answer = send(fleet.caller(0).chat("m", "hello", 8, true)).await.expect("a response");
     assert_eq!(answer.status, 200);
     assert_eq!(answer.streamed_text(), "[m@v1] hello w2 w3 w4 w5 w6 w7");
     assert_eq!(answer.events().last().map(String::as_str), Some("[DONE]"));
@@ -26,7 +26,7 @@
 case!(service_call, async {
     let fleet = Fleet::start(Plan::default()).await;
     let call = fleet.caller(0).call("ledger", "fund/7?x=1", "invoice-7", "amount=5");
-    let answer = send(call).await.expect("an answer");
+    let answer = send(call).await.expect("a response");
     assert_eq!((answer.status, answer.outcome.as_str()), (200, "completed"));
     let executions = fleet.services[0].executions();
     assert_eq!(executions.len(), 1);
@@ -40,10 +40,10 @@
     assert!(answer.body.contains("\"id\":\"m@v1\""), "{}", answer.body);
 });
 
-case!(answers_reach_the_ledger_once_each, async {
+case!(each_response_is_recorded_once_in_the_ledger, async {
     let fleet = Fleet::start(Plan::default()).await;
     for _ in 0..5 {
-        send(fleet.caller(0).chat("m", "hello", 8, false)).await.expect("an answer");
+        send(fleet.caller(0).chat("m", "hello", 8, false)).await.expect("a response");
     }
     wait_until("five records are in the ledger", || async { fleet.ledger_records().len() == 5 })
         .await;
--- a/tests/all/slow_transfers.rs
+++ b/tests/all/slow_transfers.rs
@@ -1,9 +1,8 @@
-//! Messages and answers that are large for the link that carries them: between an entry and a
-//! sidecar, and from the table service.
+//! Large messages over a slow connection, between an entry and a sidecar, and from the store.
 //!
-//! The other end is taken for gone when it is silent. A message of which more comes all the time is
-//! no silence, however long it takes: judged by whole messages, an end whose link needed longer for
-//! one than the silence that is borne was taken for gone, connected again, and sent it anew.
+//! A peer that sends nothing for the silence timeout counts as gone. The timeout must apply to received bytes,
+//! not to complete messages: otherwise a peer whose connection needs longer than the timeout for one message
+//! is disconnected, reconnects, and sends the same message again.
 
 use std::time::Duration;
 
@@ -31,16 +30,16 @@
 
 const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// The silence that is borne. A large message takes four times as long.
-const SILENCE: Duration = Duration::from_millis(500);
+/// The silence timeout. A large message takes four times as long.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
 const SLOW_BYTES_PER_S: u32 = 100_000;
 const LARGE_BYTES: usize = 200_000;
 
-/// One end of a connection: it closes when a half is dropped.
+/// One end of a connection, which closes when either half is dropped.
 type End = (FrameSender, FrameReader);
 
-/// Two ends of a connection over a slow link.
-async fn ends() -> (End, End, FaultProxy) {
+/// Opens a connection over a slow link and returns both of its ends.
+async fn connect_slowly() -> (End, End, FaultProxy) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let link = FaultProxy::start(listener.local_addr().expect("an address")).await;
     let link = link.expect("a proxy starts");
@@ -55,32 +54,32 @@
     Body::Chunk(Chunk { payload: Bytes::from(vec![7; LARGE_BYTES]), ..Chunk::default() })
 }
 
-case!(a_message_that_takes_longer_than_the_silence_that_is_borne_comes, async {
-    let ((sender, _), (_sender, mut reader), _link) = ends().await;
+case!(message_that_takes_longer_than_the_silence_timeout_arrives, async {
+    let ((sender, _), (_sender, mut reader), _link) = connect_slowly().await;
     sender.send(large_message()).await.expect("it is queued");
-    let body = reader.next_within(SILENCE).await.expect("it comes");
+    let body = reader.next_within(SILENCE_TIMEOUT).await.expect("it arrives");
     assert_eq!(body, large_message());
 });
 
-case!(an_end_that_falls_silent_in_a_message_is_taken_for_gone, async {
-    let ((sender, _), (_sender, mut reader), link) = ends().await;
+case!(silence_within_a_message_closes_the_connection, async {
+    let ((sender, _), (_sender, mut reader), link) = connect_slowly().await;
     sender.send(large_message()).await.expect("it is queued");
     let begun = wait_until("it begins", async || link.passed_bytes(Direction::ToListener) > 0);
     let cut = async {
         begun.await;
         link.hold(Direction::ToListener);
     };
-    let (received, ()) = tokio::join!(reader.next_within(SILENCE), cut);
+    let (received, ()) = tokio::join!(reader.next_within(SILENCE_TIMEOUT), cut);
     assert!(matches!(received, Err(WireError::Closed)), "{received:?}");
 });
 
-// The time of a call is that until its answer begins, and of each rest in it.
-case!(a_long_list_of_records_comes_over_a_slow_link, async {
+// The timeout of a call applies until its response starts, and then to each pause in it.
+case!(long_list_of_records_arrives_over_a_slow_link, async {
     const RECORDS: usize = 40;
     let platform = PlatformStandin::start(([127, 0, 0, 1], 0).into()).await.expect("it starts");
     let addr = platform.url().trim_start_matches("http://").parse().expect("an address");
     let link = FaultProxy::start(addr).await.expect("a proxy starts");
-    let client = PlatformClient::new(&format!("http://{}", link.addr()), SILENCE);
+    let client = PlatformClient::new(&format!("http://{}", link.addr()), SILENCE_TIMEOUT);
     let value = json!("x".repeat(LARGE_BYTES / RECORDS));
     for n in 0..RECORDS {
         let put = Put { key: format!("record-{n}"), value: value.clone() };
@@ -88,6 +87,6 @@
         client.commit(&written).await.expect("it is written");
     }
     link.throttle(SLOW_BYTES_PER_S);
-    let page = client.list("record-", "", RECORDS).await.expect("it comes");
+    let page = client.list("record-", "", RECORDS).await.expect("it arrives");
     assert_eq!(page.records.len(), RECORDS);
 });
