--- a/crates/entry/src/background.rs
+++ b/crates/entry/src/background.rs
@@ -11,16 +11,16 @@
 use crate::shared::Shared;
 use crate::table_sync;
 
-const RELEASE_EVERY: Duration = Duration::from_millis(500);
+const RELEASE_PERIOD: Duration = Duration::from_millis(500);
 
 /// The relative jitter of polling periods, so that hosts that started together do not poll together.
 const JITTER: f64 = 0.2;
 
 /// Sends the status to all sidecars periodically.
 pub(crate) async fn heartbeat(shared: Arc<Shared>) {
-    let every = Duration::from_millis(shared.settings.timing.heartbeat_ms);
+    let period = Duration::from_millis(shared.settings.timing.heartbeat_ms);
     loop {
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(period).await;
         shared.links.broadcast(&Body::Status(shared.status()));
         update_gauges(&shared);
     }
@@ -28,7 +28,7 @@
 
 /// Polls the host list. If it cannot be read, the last one stays active.
 pub(crate) async fn follow_hosts(shared: Arc<Shared>) {
-    let every = Duration::from_millis(shared.settings.platform.host_list_poll_ms);
+    let period = Duration::from_millis(shared.settings.platform.host_list_poll_ms);
     shared.links.connect_seeds(&shared);
     loop {
         match shared.platform.hosts().await {
@@ -38,27 +38,27 @@
             }
             Err(error) => log::warn!(error:%; "cannot read the host list"),
         }
-        tokio::time::sleep(jittered(every)).await;
+        tokio::time::sleep(jittered(period)).await;
     }
 }
 
 /// Polls the table's head, in case a revision does not arrive through the sidecars.
 pub(crate) async fn follow_table(shared: Arc<Shared>) {
-    let every = Duration::from_millis(shared.settings.platform.table_poll_ms);
+    let period = Duration::from_millis(shared.settings.platform.table_poll_ms);
     loop {
         if let Err(error) = table_sync::poll(&shared).await {
             log::warn!(error:%; "cannot read the table's head");
         }
-        tokio::time::sleep(jittered(every)).await;
+        tokio::time::sleep(jittered(period)).await;
     }
 }
 
 /// Writes bill records to the ledger periodically.
 pub(crate) async fn flush_bills(shared: Arc<Shared>) {
-    let every = Duration::from_millis(shared.settings.bill.flush_ms);
+    let period = Duration::from_millis(shared.settings.bill.flush_ms);
     let mut unconfirmed = None;
     loop {
-        tokio::time::sleep(jittered(every)).await;
+        tokio::time::sleep(jittered(period)).await;
         billing::flush(&shared, &mut unconfirmed).await;
     }
 }
@@ -66,13 +66,13 @@
 /// Retries the release of claims that could not be released at once.
 pub(crate) async fn release_claims(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(jittered(RELEASE_EVERY)).await;
+        tokio::time::sleep(jittered(RELEASE_PERIOD)).await;
         claiming::retry_releases(&shared).await;
     }
 }
 
-fn jittered(every: Duration) -> Duration {
-    every.mul_f64(1.0 - JITTER + rand::random_range(0.0..2.0 * JITTER))
+fn jittered(period: Duration) -> Duration {
+    period.mul_f64(1.0 - JITTER + rand::random_range(0.0..2.0 * JITTER))
 }
 
 fn update_gauges(shared: &Shared) {
--- a/crates/entry/src/billing.rs
+++ b/crates/entry/src/billing.rs
@@ -146,7 +146,7 @@
 
 fn send_settled(shared: &Shared, host: &HostId, attempts: &[AttemptId]) {
     let attempts = attempts.iter().filter_map(|attempt| attempt_to_wire(*attempt)).collect();
-    // A holder that misses this message sends its records again as orphans, and is then told again.
+    // A holder that misses this message sends its records again as orphans, and is then notified again.
     if let Some(link) = shared.links.get(host) {
         let _ = link.try_send(Body::BillSettled(BillSettled { attempts }));
     }
--- a/crates/entry/src/callers/cascade.rs
+++ b/crates/entry/src/callers/cascade.rs
@@ -32,7 +32,7 @@
 /// The result of one leg.
 struct Leg {
     order: Order,
-    answer: BufferedResponse,
+    response: BufferedResponse,
     served_by: Option<HostId>,
     prior: PriorUsage,
 }
@@ -40,24 +40,24 @@
 impl Leg {
     async fn run(shared: &Arc<Shared>, order: Order) -> Self {
         let mut execution = Execution::new(Arc::clone(shared), order);
-        let answer = execution.run_buffered().await;
+        let response = execution.run_buffered().await;
         run::record_statistics(shared, &execution);
         let bill = execution.bill();
         let prior = PriorUsage {
             usage: bill.map(|bill| bill.usage).unwrap_or_default(),
             cost: bill.map(|bill| bill.cost_micros).unwrap_or_default(),
-            attempts: execution.order.prior.attempts + answer.ending.attempts,
+            attempts: execution.order.prior.attempts + response.ending.attempts,
         };
         let served_by = execution.served_by().cloned();
-        Self { order: execution.order.clone(), answer, served_by, prior }
+        Self { order: execution.order.clone(), response, served_by, prior }
     }
 
     fn outcome(&self) -> Outcome {
-        self.answer.ending.outcome()
+        self.response.ending.outcome()
     }
 
     fn is_whole(&self) -> bool {
-        matches!(self.answer.ending.kind, EndKind::Whole)
+        matches!(self.response.ending.kind, EndKind::Whole)
     }
 }
 
@@ -74,7 +74,7 @@
         }
     };
     let leg = run_legs(shared, first, second).await;
-    let ending = &leg.answer.ending;
+    let ending = &leg.response.ending;
     run::log_end(shared, &leg.order, run::code(&ending.kind), ending.outcome(), ending.attempts);
     if ending.outcome() == Outcome::NotRun
         && let Some(claim) = claim
@@ -96,7 +96,7 @@
     let order = Order { prior: cheap.prior, ..second };
     let better = Leg::run(shared, order).await;
     if let Some(host) = &better.served_by {
-        ratings::sample(shared, &better.order, host, &better.answer.chunks);
+        ratings::sample(shared, &better.order, host, &better.response.chunks);
     }
     // The first leg's result takes precedence if only it is complete, or if the second leg was rejected
     // but the first may have run: the request must then not be reported as not run.
@@ -116,7 +116,7 @@
     if !leg.order.is_repeatable {
         return true;
     }
-    let text = ratings::answer_text(&leg.answer.chunks, leg.order.is_streamed);
+    let text = ratings::answer_text(&leg.response.chunks, leg.order.is_streamed);
     let (Some(text), Some(host)) = (text, &leg.served_by) else {
         return false;
     };
@@ -138,7 +138,7 @@
         session: run::session(shared, &leg.order, leg.served_by),
         ..ResponseMetadata::default()
     };
-    let BufferedResponse { ending, head, chunks } = leg.answer;
+    let BufferedResponse { ending, head, chunks } = leg.response;
     if !matches!(ending.kind, EndKind::Whole) {
         return run::failure(&ending, metadata.with_slot(place));
     }
--- a/crates/entry/src/callers/reply.rs
+++ b/crates/entry/src/callers/reply.rs
@@ -98,7 +98,7 @@
         match self {
             Self::Whole { status, content_type, body, outcome, metadata } => {
                 let mut metadata = metadata;
-                let mut response = whole(status, content_type, body, metadata.place.take());
+                let mut response = full_response(status, content_type, body, metadata.place.take());
                 set_outcome(&mut response, outcome);
                 set_headers(&mut response, metadata);
                 Ok(response)
@@ -118,7 +118,7 @@
     }
 }
 
-fn whole<'r>(
+fn full_response<'r>(
     status: u16,
     content_type: String,
     body: Vec<u8>,
@@ -133,7 +133,8 @@
 }
 
 fn problem_response<'r>(problem: &Problem, place: Option<InFlight>) -> Response<'r> {
-    let mut response = whole(problem.status, PROBLEM_JSON.to_owned(), problem.body(), place);
+    let mut response =
+        full_response(problem.status, PROBLEM_JSON.to_owned(), problem.body(), place);
     set_outcome(&mut response, problem.outcome);
     if let Some(after) = problem.retry_after {
         let after_ms = millis(after);
--- a/crates/entry/src/callers/routes.rs
+++ b/crates/entry/src/callers/routes.rs
@@ -67,11 +67,11 @@
     let Some(place) = InFlight::acquire(entry) else {
         return run::too_many_requests();
     };
-    let ordered = async {
+    let parsed = async {
         let body = call::read_body(entry, data).await?;
         chat::order(entry, &caller, headers.check()?, &body)
     };
-    match ordered.await {
+    match parsed.await {
         Ok(ChatOrder::Single(order)) => run::run(entry, *order, place).await,
         Ok(ChatOrder::Cascade(orders)) => cascade::run(entry, *orders, place).await,
         Err(problem) => problem.into(),
@@ -115,7 +115,7 @@
     let Some(place) = InFlight::acquire(entry) else {
         return run::too_many_requests();
     };
-    let ordered = async {
+    let parsed = async {
         let body = call::read_body(entry, data).await?;
         let (service, path) = service_and_path(request.uri());
         let service_call = ServiceCall {
@@ -127,7 +127,7 @@
         };
         services::order(entry, caller, headers.check()?, service_call)
     };
-    match ordered.await {
+    match parsed.await {
         Ok(order) => run::run(entry, order, place).await,
         Err(problem) => problem.into(),
     }
--- a/crates/entry/src/callers/run.rs
+++ b/crates/entry/src/callers/run.rs
@@ -51,7 +51,7 @@
     if is_streamed {
         run.streamed(shared, metadata).await
     } else {
-        run.whole(shared, metadata).await
+        run.buffered(shared, metadata).await
     }
 }
 
@@ -62,26 +62,26 @@
 }
 
 impl Run {
-    async fn whole(mut self, shared: &Arc<Shared>, metadata: ResponseMetadata) -> Reply {
-        let answer = self.execution.run_buffered().await;
-        self.finish(shared, &answer.ending).await;
-        if !matches!(answer.ending.kind, EndKind::Whole) {
-            return failure(&answer.ending, metadata.with_slot(self.place));
+    async fn buffered(mut self, shared: &Arc<Shared>, metadata: ResponseMetadata) -> Reply {
+        let response = self.execution.run_buffered().await;
+        self.finish(shared, &response.ending).await;
+        if !matches!(response.ending.kind, EndKind::Whole) {
+            return failure(&response.ending, metadata.with_slot(self.place));
         }
         let served_by = self.execution.served_by().cloned();
         record_statistics(shared, &self.execution);
         if let Some(host) = &served_by {
-            ratings::sample(shared, &self.execution.order, host, &answer.chunks);
+            ratings::sample(shared, &self.execution.order, host, &response.chunks);
         }
         let metadata = ResponseMetadata {
             session: session(shared, &self.execution.order, served_by),
             ..metadata
         };
-        let head = answer.head.unwrap_or_default();
+        let head = response.head.unwrap_or_default();
         Reply::Whole {
             status: u16::try_from(head.http_status).unwrap_or(200),
             content_type: content_type(head.content_type),
-            body: answer.chunks.concat(),
+            body: response.chunks.concat(),
             outcome: Outcome::Completed,
             metadata: metadata.with_slot(self.place),
         }
@@ -232,8 +232,8 @@
     Some(shared.session_keys.sign(&token))
 }
 
-pub(super) fn content_type(given: String) -> String {
-    if given.is_empty() { DEFAULT_CONTENT_TYPE.to_owned() } else { given }
+pub(super) fn content_type(upstream_type: String) -> String {
+    if upstream_type.is_empty() { DEFAULT_CONTENT_TYPE.to_owned() } else { upstream_type }
 }
 
 pub(super) fn event(chunk: &[u8]) -> Event {
--- a/crates/entry/src/learners.rs
+++ b/crates/entry/src/learners.rs
@@ -15,7 +15,7 @@
 use stallhoist_table::VersionState;
 
 /// The time after a failed call of the rating service during which it counts as unavailable.
-const RATER_PAUSE: Duration = Duration::from_secs(5);
+const RATER_RETRY_DELAY: Duration = Duration::from_secs(5);
 /// The maximum number of kinds of work with statistics. When it is exceeded, all statistics are
 /// dropped.
 const MAX_KINDS: usize = 1_000;
@@ -47,7 +47,7 @@
     }
 
     pub(crate) fn has_rater(&self, now: MonoTime) -> bool {
-        self.rater_failed.is_none_or(|failed| now.since(failed) > RATER_PAUSE)
+        self.rater_failed.is_none_or(|failed| now.since(failed) > RATER_RETRY_DELAY)
     }
 }
 
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -9,9 +9,8 @@
 //!
 //! Read `process` first, then `callers` and `request`, then `mesh` (the connections to sidecars).
 //!
-//! Lock order: `links`, `link state`, `waiters`, `bills`, `holders`, `retries`,
-//! `ejection`, `guard`, `learners`,
-//! `unreleased`, `limits`. No lock is held across an await point.
+//! Lock order: `links`, `link state`, `waiters`, `bills`, `holders`, `retries`, `ejection`, `guard`,
+//! `learners`, `unreleased`, `limits`. No lock is held across an await point.
 
 mod background;
 mod billing;
--- a/crates/entry/src/mesh/link.rs
+++ b/crates/entry/src/mesh/link.rs
@@ -36,7 +36,7 @@
 use crate::shared::Shared;
 use crate::table_sync;
 
-const FIRST_RECONNECT: Duration = Duration::from_millis(20);
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The state of an established connection, with the last status that the sidecar sent.
@@ -112,14 +112,14 @@
 
     /// Connects and reconnects until the link is closed.
     pub(crate) async fn run(self: Arc<Self>, shared: Arc<Shared>) {
-        let longest = Duration::from_millis(shared.settings.timing.reconnect_max_ms);
-        let pauses = ExponentialBuilder::default()
-            .with_min_delay(FIRST_RECONNECT.min(longest))
-            .with_max_delay(longest)
+        let max_delay = Duration::from_millis(shared.settings.timing.reconnect_max_ms);
+        let backoff = ExponentialBuilder::default()
+            .with_min_delay(MIN_RECONNECT_DELAY.min(max_delay))
+            .with_max_delay(max_delay)
             .with_factor(2.0)
             .with_jitter()
             .without_max_times();
-        let mut pause = pauses.build();
+        let mut delays = backoff.build();
         loop {
             let was_connected = tokio::select! {
                 was_connected = self.connect_and_read(&shared) => was_connected,
@@ -127,11 +127,11 @@
             };
             self.disconnected();
             if was_connected {
-                pause = pauses.build();
+                delays = backoff.build();
             }
-            let next = pause.next().unwrap_or(longest);
+            let delay = delays.next().unwrap_or(max_delay);
             tokio::select! {
-                () = tokio::time::sleep(next) => {}
+                () = tokio::time::sleep(delay) => {}
                 () = self.closed.cancelled() => break,
             }
         }
@@ -178,9 +178,9 @@
         sender: &FrameSender,
         reader: &mut FrameReader,
     ) -> WireError {
-        let silence = Duration::from_millis(shared.settings.timing.peer_timeout_ms);
+        let silence_timeout = Duration::from_millis(shared.settings.timing.peer_timeout_ms);
         loop {
-            let body = match reader.next_within(silence).await {
+            let body = match reader.next_within(silence_timeout).await {
                 Ok(body) => body,
                 Err(error) => return error,
             };
--- a/crates/entry/src/mesh/waiters.rs
+++ b/crates/entry/src/mesh/waiters.rs
@@ -24,9 +24,9 @@
 impl Waiters {
     pub(crate) fn add_probe(&mut self) -> (u64, oneshot::Receiver<ProbeReply>) {
         self.last_probe_id += 1;
-        let (tell, told) = oneshot::channel();
-        self.probes.insert(self.last_probe_id, tell);
-        (self.last_probe_id, told)
+        let (sender, receiver) = oneshot::channel();
+        self.probes.insert(self.last_probe_id, sender);
+        (self.last_probe_id, receiver)
     }
 
     pub(crate) fn drop_probe(&mut self, probe_id: u64) {
@@ -34,15 +34,15 @@
     }
 
     pub(crate) fn probe_replied(&mut self, reply: ProbeReply) {
-        if let Some(tell) = self.probes.remove(&reply.probe_id) {
-            let _ = tell.send(reply);
+        if let Some(sender) = self.probes.remove(&reply.probe_id) {
+            let _ = sender.send(reply);
         }
     }
 
     pub(crate) fn add_attempt(&mut self, id: AttemptId) -> mpsc::UnboundedReceiver<AttemptEvent> {
-        let (tell, told) = mpsc::unbounded_channel();
-        self.attempts.insert(id, tell);
-        told
+        let (sender, receiver) = mpsc::unbounded_channel();
+        self.attempts.insert(id, sender);
+        receiver
     }
 
     pub(crate) fn drop_attempt(&mut self, id: AttemptId) {
@@ -51,20 +51,20 @@
 
     /// Forwards an event to its attempt. Events of attempts without a receiver are dropped.
     pub(crate) fn attempt_event(&mut self, id: AttemptId, event: AttemptEvent) {
-        if let Some(tell) = self.attempts.get(&id) {
-            let _ = tell.send(event);
+        if let Some(sender) = self.attempts.get(&id) {
+            let _ = sender.send(event);
         }
     }
 
     pub(crate) fn add_bill(&mut self, request: RequestId) -> oneshot::Receiver<()> {
-        let (tell, told) = oneshot::channel();
-        self.bills.insert(request, tell);
-        told
+        let (sender, receiver) = oneshot::channel();
+        self.bills.insert(request, sender);
+        receiver
     }
 
     pub(crate) fn bill_held(&mut self, request: &RequestId) {
-        if let Some(tell) = self.bills.remove(request) {
-            let _ = tell.send(());
+        if let Some(sender) = self.bills.remove(request) {
+            let _ = sender.send(());
         }
     }
 
@@ -72,8 +72,8 @@
     pub(crate) fn link_lost(&mut self) {
         self.probes.clear();
         self.bills.clear();
-        for tell in self.attempts.values() {
-            let _ = tell.send(AttemptEvent::LinkLost);
+        for sender in self.attempts.values() {
+            let _ = sender.send(AttemptEvent::LinkLost);
         }
     }
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -59,9 +59,9 @@
         registry.register("resumes", "Answers resumed after a cut", self.resumes.clone());
         registry.register("probes", "Probes sent", self.probes.clone());
         registry.register("store_reads", "Reads of the table's head", self.store_reads.clone());
-        let thin = self.bills_with_one_holder.clone();
+        let without_neighbour = self.bills_with_one_holder.clone();
         let help = "Bill records that no neighbour in another zone confirmed";
-        registry.register("bills_without_neighbour", help, thin);
+        registry.register("bills_without_neighbour", help, without_neighbour);
         let in_flight = self.in_flight_requests.clone();
         registry.register("in_flight_requests", "Requests in progress", in_flight);
         let unsettled = self.unsettled_bills.clone();
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -23,9 +23,9 @@
 use crate::shared::Shared;
 
 /// How long the HTTP servers may take to send their last responses.
-const STOP_LINGER: Duration = Duration::from_millis(200);
-const CHECK_EVERY: Duration = Duration::from_millis(20);
-const LAST_FLUSH_PAUSE: Duration = Duration::from_millis(200);
+const SERVER_STOP_TIMEOUT: Duration = Duration::from_millis(200);
+const CHECK_PERIOD: Duration = Duration::from_millis(20);
+const FLUSH_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Why an entry could not be started.
 #[derive(Debug, Display, thiserror::Error)]
@@ -128,14 +128,14 @@
         }
         self.tasks.abort_all();
         self.shared.links.close_all();
-        self.callers.stop(STOP_LINGER).await;
-        self.operators.stop(STOP_LINGER).await;
+        self.callers.stop(SERVER_STOP_TIMEOUT).await;
+        self.operators.stop(SERVER_STOP_TIMEOUT).await;
         log::info!("entry stopped");
     }
 
     async fn settle(&self) {
         while self.shared.in_flight.load(Ordering::SeqCst) > 0 {
-            tokio::time::sleep(CHECK_EVERY).await;
+            tokio::time::sleep(CHECK_PERIOD).await;
         }
         let mut unconfirmed = None;
         loop {
@@ -143,7 +143,7 @@
             if unconfirmed.is_none() && self.shared.bills.lock().held.is_empty() {
                 return;
             }
-            tokio::time::sleep(LAST_FLUSH_PAUSE).await;
+            tokio::time::sleep(FLUSH_RETRY_DELAY).await;
         }
     }
 }
--- a/crates/entry/src/request/execution.rs
+++ b/crates/entry/src/request/execution.rs
@@ -324,7 +324,7 @@
         }
         // If the attempt never arrived, this message makes the sidecar reject it from now on.
         let attest = Attest { attempt: attempt_to_wire(attempt.id) };
-        // A send fails only if the connection broke again, which causes another `LinkLost`.
+        // If the connection broke again, the send fails and the attempt receives another `LinkLost`.
         let _ = attempt.link.try_send(Body::Attest(attest));
         Ok(())
     }
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -84,15 +84,16 @@
         workspace: &WorkspaceName,
     ) -> Result<SessionToken, SessionTokenError> {
         let parts: Vec<_> = text.split(SEPARATOR).collect();
-        let [id, payload, given] = parts[..] else {
+        let [id, payload, signature] = parts[..] else {
             return Err(SessionTokenError::Malformed);
         };
         let key = self.keys.iter().find(|(known, _)| known == id);
         let (_, mac) = key.ok_or(SessionTokenError::UnknownKey)?;
-        let given = URL_SAFE_NO_PAD.decode(given).map_err(|_| SessionTokenError::Malformed)?;
+        let signature =
+            URL_SAFE_NO_PAD.decode(signature).map_err(|_| SessionTokenError::Malformed)?;
         let mut mac = mac.clone();
         mac.update(payload.as_bytes());
-        mac.verify_slice(&given).map_err(|_| SessionTokenError::WrongSignature)?;
+        mac.verify_slice(&signature).map_err(|_| SessionTokenError::WrongSignature)?;
         let payload = URL_SAFE_NO_PAD.decode(payload).map_err(|_| SessionTokenError::Malformed)?;
         let token: SessionToken =
             serde_json::from_slice(&payload).map_err(|_| SessionTokenError::Malformed)?;
--- a/crates/entry/src/table_sync.rs
+++ b/crates/entry/src/table_sync.rs
@@ -60,7 +60,7 @@
         shared.table.install(table);
     }
     announce(shared);
-    spread_entry(shared, &entry);
+    send_entry(shared, &entry);
     let is_held = wait_held_elsewhere(shared, entry.revision).await;
     Ok((entry, is_held))
 }
@@ -174,7 +174,7 @@
     match shared.table.apply(&entry) {
         InstallOutcome::Newer => {
             announce(shared);
-            spread_entry(shared, &entry);
+            send_entry(shared, &entry);
         }
         InstallOutcome::Gap => shared.table.request_snapshot(from),
         InstallOutcome::NotNewer => {}
@@ -205,7 +205,7 @@
     shared.links.broadcast(&Body::TableHeld(TableHeld { revision: revision.0 }));
 }
 
-fn spread_entry(shared: &Shared, entry: &LogEntry) {
+fn send_entry(shared: &Shared, entry: &LogEntry) {
     let message = entry_to_wire(entry);
     let holders = shared.holders.borrow().clone();
     for (host, link) in shared.links.all() {
