--- a/crates/entry/src/table_sync.rs
+++ b/crates/entry/src/table_sync.rs
@@ -29,8 +29,8 @@
 
 use crate::shared::Shared;
 
-/// How long a committed edit waits until another availability zone holds it. After that it is reported as only
-/// committed.
+/// How long a committed edit waits until another availability zone holds it. After that it is reported
+/// as only committed.
 const ACCEPT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The hosts on which a revision is active, as far as this entry knows.
@@ -45,8 +45,8 @@
     pub(crate) missing: Vec<HostId>,
 }
 
-/// Commits an edit, activates it on this entry, distributes it, and waits until another availability zone holds it. The
-/// returned flag says whether one did: only then is the edit accepted.
+/// Commits an edit, activates it on this entry, distributes it, and waits until another availability
+/// zone holds it. The returned flag says whether one did: only then is the edit accepted.
 ///
 /// # Errors
 /// Fails if the edit conflicts or is invalid, or if the store does not confirm it.
@@ -60,7 +60,7 @@
         shared.table.install(table);
     }
     announce(shared);
-    spread_entry(shared, &entry);
+    send_entry(shared, &entry);
     let is_held = wait_held_elsewhere(shared, entry.revision).await;
     Ok((entry, is_held))
 }
@@ -160,7 +160,8 @@
     Ok(())
 }
 
-/// Applies a committed edit that was received. Requests a snapshot from the sender if an earlier edit is missing.
+/// Applies a committed edit that was received. Requests a snapshot from the sender if an earlier edit
+/// is missing.
 ///
 /// # Errors
 /// Fails if the message cannot be decoded.
@@ -173,7 +174,7 @@
     match shared.table.apply(&entry) {
         InstallOutcome::Newer => {
             announce(shared);
-            spread_entry(shared, &entry);
+            send_entry(shared, &entry);
         }
         InstallOutcome::Gap => shared.table.request_snapshot(from),
         InstallOutcome::NotNewer => {}
@@ -204,7 +205,7 @@
     shared.links.broadcast(&Body::TableHeld(TableHeld { revision: revision.0 }));
 }
 
-fn spread_entry(shared: &Shared, entry: &LogEntry) {
+fn send_entry(shared: &Shared, entry: &LogEntry) {
     let message = entry_to_wire(entry);
     let holders = shared.holders.borrow().clone();
     for (host, link) in shared.links.all() {
