--- a/crates/entry/src/callers/call.rs
+++ b/crates/entry/src/callers/call.rs
@@ -35,7 +35,7 @@
     let max_bytes = shared.settings.callers.max_body_bytes;
     let read = data.open(max_bytes.bytes()).into_bytes().await;
     let body = read.map_err(|error| {
-        Problem::not_routed(400, "body-broken-off", format!("the body is incomplete: {error}"))
+        Problem::not_routed(400, "body-broken-off", format!("the body broke off: {error}"))
     })?;
     if !body.is_complete() {
         let detail = format!("the body has more than {max_bytes} bytes");
--- a/crates/entry/src/callers/chat.rs
+++ b/crates/entry/src/callers/chat.rs
@@ -248,16 +248,13 @@
     target: &Target,
 ) -> Result<ModelVersion, Problem> {
     let Target::Version(version) = target else {
-        return Err(Problem::bad_header(
-            super::headers::SESSION,
-            "the session belongs to a service",
-        ));
+        return Err(Problem::bad_header(super::headers::SESSION, "the session is on a service"));
     };
     let matches = requested == AUTO
         || requested == version.model.as_str()
         || requested == version.to_string();
     if !matches {
-        let detail = format!("the session belongs to {version}, the request asks for {requested}");
+        let detail = format!("the session is on {version}, the request asks for {requested}");
         return Err(Problem::bad_header(super::headers::SESSION, &detail));
     }
     let row = table.row(workspace, target).filter(|row| row.allowed);
--- a/crates/entry/src/callers/problem.rs
+++ b/crates/entry/src/callers/problem.rs
@@ -59,25 +59,19 @@
         let (status, detail) = match reason {
             NotRunReason::NotAllowed => (403, "the workspace may not use this model or service"),
             NotRunReason::Withdrawn => (409, "the version is withdrawn; start a new session"),
-            NotRunReason::Draining => (409, "the version is draining; start a new session"),
+            NotRunReason::Draining => (409, "the version takes no new work; start a new session"),
             NotRunReason::DuplicateKey => (409, "another request holds this idempotency key"),
-            NotRunReason::Overloaded => {
-                (429, "the request could not be started before its deadline")
-            }
-            NotRunReason::LimitReached => (429, "a limit of the workspace is reached"),
-            NotRunReason::Held => {
-                (503, "the version is held back because of failures or poor ratings")
-            }
-            NotRunReason::DeadlinePassed => {
-                (504, "the deadline passed before the request was started")
-            }
-            NotRunReason::StoreUnavailable => (503, "the platform's store does not respond"),
-            NotRunReason::NoTable => (503, "no table is active yet"),
+            NotRunReason::Overloaded => (429, "it could not be started before its deadline"),
+            NotRunReason::LimitReached => (429, "a limit of the workspace is used up"),
+            NotRunReason::Held => (503, "the version is held back"),
+            NotRunReason::DeadlinePassed => (504, "the deadline passed before it was started"),
+            NotRunReason::StoreUnavailable => (503, "the platform's store does not answer"),
+            NotRunReason::NoTable => (503, "no table is in force yet"),
             NotRunReason::NoUpstream
             | NotRunReason::Leaving
             | NotRunReason::NotServed
             | NotRunReason::Barred
-            | NotRunReason::UpstreamUnreachable => (503, "no upstream is available"),
+            | NotRunReason::UpstreamUnreachable => (503, "no upstream can take it now"),
         };
         let is_lasting = matches!(status, 403 | 409);
         Self {
--- a/crates/entry/src/callers/routes.rs
+++ b/crates/entry/src/callers/routes.rs
@@ -149,7 +149,7 @@
         code if code < 500 => Problem::not_routed(code, "bad-request", status.to_string()),
         _ => {
             // A handler failed: the request may or may not have run.
-            let detail = "internal error of the entry while it served the request";
+            let detail = "the entry failed while it served the request";
             Problem::no_response(stallhoist_core::Outcome::Unknown, "internal", detail)
         }
     };
--- a/crates/entry/src/callers/run.rs
+++ b/crates/entry/src/callers/run.rs
@@ -202,17 +202,15 @@
     match &ending.kind {
         EndKind::NotRun { reason, retry_after } => Problem::not_run(*reason, *retry_after),
         EndKind::UpstreamError { http_status, .. } => {
-            let detail = format!("the upstream responded with status {http_status}");
+            let detail = format!("the upstream answered with status {http_status}");
             Problem::no_response(outcome, code, detail)
         }
         EndKind::Truncated { detail } => Problem::no_response(outcome, code, detail.clone()),
-        EndKind::DeadlinePassed { .. } => Problem::no_response(
-            outcome,
-            code,
-            "the deadline passed before the response was complete",
-        ),
+        EndKind::DeadlinePassed { .. } => {
+            Problem::no_response(outcome, code, "the deadline passed before its end")
+        }
         EndKind::Whole | EndKind::Unknown => {
-            let detail = "the request may have run: its outcome cannot be determined";
+            let detail = "it may have run: what became of it cannot be found out";
             Problem::no_response(Outcome::Unknown, code, detail)
         }
     }
--- a/crates/entry/src/operators/table_routes.rs
+++ b/crates/entry/src/operators/table_routes.rs
@@ -57,7 +57,7 @@
 
 #[get("/v1/table")]
 fn table(_key: OperatorsKey, entry: &Entry) -> Result<Json<Table>, (Status, Json<OperatorError>)> {
-    let error = || OperatorError { error: "no table is active yet".to_owned() };
+    let error = || OperatorError { error: "no table is in force yet".to_owned() };
     let table = entry.table.current();
     let table = table.ok_or_else(|| (Status::ServiceUnavailable, Json(error())))?;
     Ok(Json(table.as_ref().clone()))
--- a/crates/entry/src/request/execution.rs
+++ b/crates/entry/src/request/execution.rs
@@ -264,7 +264,7 @@
             return Ok(None);
         }
         if chunk.sequence > attempt.next_sequence {
-            let detail = format!("chunk {} is missing", attempt.next_sequence);
+            let detail = format!("part {} is missing", attempt.next_sequence);
             return Err(AttemptEnd::Truncated { detail });
         }
         attempt.next_sequence += 1;
@@ -285,8 +285,7 @@
         match last.kind() {
             FinalKind::Whole if is_whole => {}
             FinalKind::Whole => {
-                let detail =
-                    "the chunks received do not match the response's length or digest".to_owned();
+                let detail = "the parts do not make the whole answer".to_owned();
                 return Err(AttemptEnd::Truncated { detail });
             }
             FinalKind::UpstreamError => {
