--- a/tests/all/soak/caller.rs
+++ b/tests/all/soak/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: they keep their connections and record each request and its answer.
+//! Callers, which reuse their connections and record each request with its response.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -21,13 +21,13 @@
 /// The deadline that callers state in their requests.
 pub(super) const DEADLINE: Duration = Duration::from_secs(4);
 
-/// When callers give up a request without an answer.
+/// The time after which callers abandon a request without a response.
 const TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The least time from one request of a caller to its next.
+/// The minimum interval between two requests of a caller.
 const REQUEST_EVERY: Duration = Duration::from_millis(25);
 
-/// How long a new connection may take, so that a gateway that is frozen is given up soon.
+/// The limit for opening a connection, so that a caller soon abandons a suspended gateway.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The kinds of requests: calls and streams, repeatable or run at most once.
@@ -37,14 +37,14 @@
     Once,
     Stream,
     OnceStream,
-    /// A stream of the upstreams that some requests end.
+    /// A harmless stream from the upstreams that some requests crash.
     Fragile,
-    /// One that ends them.
+    /// A stream that crashes them.
     Fatal,
 }
 
 impl Kind {
-    /// Those that callers send at random.
+    /// The kinds that callers choose from at random.
     pub(super) const ALL: [Self; 5] =
         [Self::Safe, Self::Once, Self::Stream, Self::OnceStream, Self::Fragile];
 
@@ -67,27 +67,27 @@
     }
 }
 
-/// One request and its answer.
+/// A request and its response.
 #[derive(Debug, Clone)]
 pub(super) struct RequestRecord {
     pub(super) id: String,
     pub(super) kind: Kind,
-    /// The number of the gateway, and which of its processes was asked.
+    /// The number of the gateway, and the generation of the process that got the request.
     pub(super) gateway: usize,
     pub(super) generation: u64,
     pub(super) sent: Instant,
     pub(super) ended: Instant,
-    /// None when the connection ended without an answer.
+    /// None when the connection closed without a response.
     pub(super) answer: Option<Answer>,
 }
 
 pub(super) fn client() -> reqwest::Client {
     let builder = reqwest::Client::builder().no_proxy().timeout(TIMEOUT);
-    builder.connect_timeout(CONNECT_TIMEOUT).build().expect("a client can be made")
+    builder.connect_timeout(CONNECT_TIMEOUT).build().expect("the HTTP client can be built")
 }
 
-/// Sends one request to a gateway.
-pub(super) async fn ask(
+/// Sends one request to a gateway and records its response.
+pub(super) async fn send_request(
     http: &reqwest::Client,
     gateway: &GatewayStatus,
     kind: Kind,
@@ -95,11 +95,11 @@
     id: String,
 ) -> RequestRecord {
     let body = if kind == Kind::Fragile { format!("prompt {id}") } else { "a prompt".to_owned() };
-    ask_with(http, gateway, kind, key, id, body).await
+    send_with_body(http, gateway, kind, key, id, body).await
 }
 
-/// The same, with this body where the kind has one.
-pub(super) async fn ask_with(
+/// Like [`send_request`], with the given body where the kind has one.
+pub(super) async fn send_with_body(
     http: &reqwest::Client,
     gateway: &GatewayStatus,
     kind: Kind,
@@ -149,7 +149,7 @@
         .header("Prompt-Prefix", "a1:60,b2:40")
 }
 
-/// Sends one request after another until told to stop; gives the record of each.
+/// Sends one request after another until `stop` is set. Returns the records.
 pub(super) async fn run(
     name: String,
     seed: u64,
@@ -165,12 +165,12 @@
         let gateway = choose(&mut rng, &gateways);
         let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len())];
         let id = format!("{name}-{}", records.len());
-        records.push(ask(&http, gateway, kind, KEY, id).await);
+        records.push(send_request(&http, gateway, kind, KEY, id).await);
     }
     records
 }
 
-/// One of the gateways in rotation; any of them all when there is none.
+/// Chooses a gateway in rotation at random, or any gateway when none is in rotation.
 fn choose<'a>(rng: &mut StdRng, gateways: &'a [Arc<GatewayStatus>]) -> &'a GatewayStatus {
     let in_rotation = gateways.iter().filter(|gateway| *gateway.is_in_rotation.lock());
     let in_rotation: Vec<_> = in_rotation.collect();
--- a/tests/all/soak/fleet.rs
+++ b/tests/all/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a run and the proxies between them.
+//! The gateways, the upstreams and the store of a run, with the proxies between them.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 use super::gateway_status::poll_readiness;
 use super::operator_config::OperatorConfig;
 use super::period::Period;
-use super::supervisor::GRACE;
+use super::supervisor::STOP_GRACE;
 use super::supervisor::Signal;
 use super::supervisor::Supervisor;
 use super::upstream;
@@ -26,31 +26,31 @@
 use super::violations::Violations;
 use super::zones;
 
-/// The processes of a run and the proxies between them.
+/// The processes and stand-ins of a run, and the periods of the faults injected into them.
 pub(super) struct Fleet {
     pub(super) store: Arc<StoreStandin>,
     pub(super) gateways: Vec<Arc<GatewayStatus>>,
-    /// All upstreams, also those that have left.
+    /// All upstreams, including those that have left.
     pub(super) upstreams: Arc<Mutex<Vec<Upstream>>>,
-    /// Upstreams that some requests end.
+    /// Upstreams that some requests crash.
     pub(super) fragile: Vec<UpstreamStandin>,
-    /// How many callers have begun to send such a request, and those that still do.
+    /// The number of series of such requests begun, and the tasks that send them.
     pub(super) series: usize,
-    pub(super) series_under_way: Vec<JoinHandle<Vec<RequestRecord>>>,
+    pub(super) active_series: Vec<JoinHandle<Vec<RequestRecord>>>,
     pub(super) config: OperatorConfig,
-    /// When operators had a zone emptied.
+    /// When operators had emptied a zone.
     pub(super) emptied: Vec<Period>,
     /// When the store, or a gateway's connection to it, was faulty.
     pub(super) store_faults: Vec<Period>,
-    /// Those of one gateway's connection alone, with its number.
+    /// The subset that affected one gateway's connection only, with the gateway's number.
     pub(super) store_link_faults: Vec<(usize, Period)>,
     /// When an upstream, or the connection to it, was faulty.
     pub(super) upstream_faults: Vec<Period>,
-    /// Those of one upstream's connection alone, with its number.
+    /// The subset that affected one upstream's connection, with the upstream's number.
     pub(super) upstream_link_faults: Vec<(usize, Period)>,
-    /// The proxies between the gateways and the store, one for each gateway.
+    /// The proxies between gateways and the store, by gateway number.
     pub(super) store_links: Arc<Vec<FaultProxy>>,
-    /// The tasks that end the faults that have begun.
+    /// The tasks that end active faults.
     pub(super) recoveries: Vec<JoinHandle<()>>,
     signals: Vec<mpsc::UnboundedSender<Signal>>,
     supervisors: Vec<JoinHandle<Supervisor>>,
@@ -68,7 +68,7 @@
             upstreams: Arc::new(Mutex::new(upstreams)),
             fragile,
             series: 0,
-            series_under_way: Vec::new(),
+            active_series: Vec::new(),
             config: OperatorConfig::default(),
             emptied: Vec::new(),
             store_faults: Vec::new(),
@@ -114,26 +114,26 @@
         self.signals[gateway].send(signal).expect("the supervisor listens");
     }
 
-    /// Stores the configuration under a new version, with the keys that are valid now.
+    /// Stores the configuration under a new version, with the currently valid keys.
     pub(super) fn reconfigure(&mut self) {
         self.store.put("op", "config", self.config.next());
     }
 
-    /// Waits until no caller sends requests that end upstreams any more. Gives what they got.
-    pub(super) async fn end_series(&mut self) -> Vec<RequestRecord> {
+    /// Waits until all series of fatal requests have finished. Returns their records.
+    pub(super) async fn finish_series(&mut self) -> Vec<RequestRecord> {
         let mut records = Vec::new();
-        for series in std::mem::take(&mut self.series_under_way) {
+        for series in std::mem::take(&mut self.active_series) {
             records.extend(series.await.expect("a caller does not panic"));
         }
         records
     }
 
-    /// Waits until all faults have ended and no process is stopping or frozen.
+    /// Waits until all faults have ended and no process is stopping or suspended.
     pub(super) async fn settle(&mut self) {
         for recovery in std::mem::take(&mut self.recoveries) {
             recovery.await.expect("the end of a fault does not panic");
         }
-        // A supervisor ends once it can get no more signals and its process is well.
+        // A supervisor finishes when its signal channel is closed and its process is running.
         self.signals.clear();
         let mut ended = Vec::new();
         for supervisor in std::mem::take(&mut self.supervisors) {
@@ -152,7 +152,7 @@
     fn drop(&mut self) {
         self.readiness_polls.iter().for_each(JoinHandle::abort);
         self.recoveries.iter().for_each(JoinHandle::abort);
-        self.series_under_way.iter().for_each(JoinHandle::abort);
+        self.active_series.iter().for_each(JoinHandle::abort);
         self.supervisors.iter().for_each(JoinHandle::abort);
     }
 }
@@ -167,6 +167,6 @@
         "peers_addr": "127.0.0.1:0",
         "store": { "addr": store.addr().to_string(), "follow_wait_ms": 1_000 },
         "cold_upstreams": zones::cold_settings(),
-        "stop": { "grace": format!("{} s", GRACE.as_secs_f64()) },
+        "stop": { "grace": format!("{} s", STOP_GRACE.as_secs_f64()) },
     })
 }
--- a/tests/all/soak/fragile.rs
+++ b/tests/all/soak/fragile.rs
@@ -1,4 +1,4 @@
-//! Upstreams that some requests end, and callers that send such requests again and again.
+//! Upstreams that some requests crash, and callers that send such requests repeatedly.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,20 +23,20 @@
 const SERVICE: &str = "fragile";
 const UPSTREAMS: usize = 6;
 
-/// What begins so ends the upstream that runs it.
+/// The prefix of a request body that crashes the upstream which runs it.
 const FATAL: &str = "fatal";
 
-/// Requests of a series, and the time between two.
+/// Requests of a series, and the interval between two.
 const REQUESTS: usize = 14;
 const REQUEST_EVERY: Duration = Duration::from_millis(150);
 
-/// So many ends tell what a request does; from this time after the last of them on, gateways that are
-/// well have heard of it and send it at most so many times more, all together.
-const ENDS_UNTIL_KNOWN: usize = 3;
-const CONTACT: Duration = Duration::from_secs(3);
-const SENDS_AFTER: usize = 3;
+/// This many crashes identify a fatal request. From `PROPAGATION_TIME` after the last of them, the
+/// healthy gateways together send it at most `MAX_SENDS_AFTER` times more.
+const CRASHES_UNTIL_KNOWN: usize = 3;
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
+const MAX_SENDS_AFTER: usize = 3;
 
-/// The upstreams that can end, listed in the store.
+/// Starts the upstreams that can crash and lists them in the store.
 pub(super) async fn start_all(store: &StoreStandin) -> Vec<UpstreamStandin> {
     let usual = Behaviour::Stream {
         events: super::upstream::EVENTS,
@@ -68,7 +68,7 @@
     config["services"].as_array_mut().expect("a list of services").push(service);
 }
 
-/// A caller sends the same request again and again, each time to the next gateway.
+/// Sends the same fatal request repeatedly, each time to the next gateway. Returns the records.
 pub(super) async fn send_series(
     gateways: Vec<Arc<GatewayStatus>>,
     number: usize,
@@ -81,42 +81,45 @@
         let gateway = &gateways[(number + n) % gateways.len()];
         let body = format!("{FATAL} {number}");
         let id = format!("fatal-{number}-{n}");
-        records.push(caller::ask_with(&http, gateway, Kind::Fatal, KEY, id, body).await);
+        records.push(caller::send_with_body(&http, gateway, Kind::Fatal, KEY, id, body).await);
     }
     records
 }
 
-/// How long a series lasts, and what it broke off is under way again.
-pub(super) fn series_lasts() -> Duration {
-    REQUEST_EVERY * REQUESTS as u32 + CONTACT
+/// The time of a series, until the streams that it broke have resumed.
+pub(super) fn series_duration() -> Duration {
+    REQUEST_EVERY * REQUESTS as u32 + PROPAGATION_TIME
 }
 
-/// Once it is known what a request does, it is sent no more.
+/// Checks that gateways stop sending a request once it is known to be fatal.
 pub(super) fn check(fleet: &Fleet, requests: &[RequestRecord], violations: &Violations) {
     for number in 0..fleet.series {
         let body = format!("{FATAL} {number}");
         let mut ends: Vec<_> = fleet.fragile.iter().flat_map(UpstreamStandin::ends).collect();
         ends.retain(|end| end.body == body);
         ends.sort_by_key(|end| end.at);
-        let Some(known) = ends.get(ENDS_UNTIL_KNOWN - 1).map(|end| end.at) else {
+        let Some(known) = ends.get(CRASHES_UNTIL_KNOWN - 1).map(|end| end.at) else {
             continue;
         };
         let sends = sends_after(fleet, requests, &body, known);
-        if sends > SENDS_AFTER {
+        if sends > MAX_SENDS_AFTER {
             let ends = ends.len();
-            violations.add(format!("{body}: sent {sends} times after it was known, {ends} ends"));
+            violations.add(format!(
+                "{body}: sent {sends} times after it was known to be fatal, {ends} crashes"
+            ));
         }
     }
 }
 
-/// How often gateways that were well sent a request after it was known what it does.
+/// How often healthy gateways sent a request after it was known to be fatal.
 fn sends_after(fleet: &Fleet, requests: &[RequestRecord], body: &str, known: Instant) -> usize {
     let arrivals = fleet.fragile.iter().flat_map(UpstreamStandin::arrivals);
-    let late = arrivals.filter(|arrival| arrival.body == body && arrival.at > known + CONTACT);
-    let is_of_well = |id: &str, at: Instant| {
+    let late =
+        arrivals.filter(|arrival| arrival.body == body && arrival.at > known + PROPAGATION_TIME);
+    let is_from_healthy_gateway = |id: &str, at: Instant| {
         let request = requests.iter().find(|request| request.id == id);
         let gateway = request.map(|request| &fleet.gateways[request.gateway]);
-        gateway.is_none_or(|gateway| !gateway.was_faulty(at - CONTACT, at))
+        gateway.is_none_or(|gateway| !gateway.was_faulty(at - PROPAGATION_TIME, at))
     };
-    late.filter(|arrival| is_of_well(arrival.header("request-id"), arrival.at)).count()
+    late.filter(|arrival| is_from_healthy_gateway(arrival.header("request-id"), arrival.at)).count()
 }
--- a/tests/all/soak/gateway_status.rs
+++ b/tests/all/soak/gateway_status.rs
@@ -1,4 +1,4 @@
-//! What callers and checks know of a gateway while its processes come and go.
+//! The addresses, rotation state and faults of a gateway across restarts of its process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,11 +11,11 @@
 use crate::gateway::world::readiness;
 use crate::harness::Process;
 
-/// The platform asks once a second, and takes a gateway out of rotation after two misses.
-const POLL_EVERY: Duration = Duration::from_secs(1);
-const MISSES: u32 = 2;
+/// The platform polls readiness once a second and takes a gateway out of rotation after two misses.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+const MAX_MISSES: u32 = 2;
 
-/// Where the current process of a gateway can be reached.
+/// The addresses of a gateway's current process.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Addrs {
     pub(super) callers: SocketAddr,
@@ -36,15 +36,15 @@
     }
 }
 
-/// What callers and checks know of a gateway.
+/// State of a gateway that callers and checks share.
 #[derive(Debug)]
 pub(super) struct GatewayStatus {
-    /// Its place in the fleet, from 0.
+    /// Its index in the fleet, from 0.
     pub(super) number: usize,
     pub(super) addrs: Mutex<Addrs>,
     /// Whether the platform sends new connections here.
     pub(super) is_in_rotation: Mutex<bool>,
-    /// When it was killed or frozen.
+    /// When it was killed or suspended.
     pub(super) faults: Mutex<Vec<Period>>,
 }
 
@@ -58,20 +58,20 @@
         }
     }
 
-    /// Whether it was killed or frozen at any time from `from` to `to`.
+    /// Whether it was killed or suspended at any time from `from` to `to`.
     pub(super) fn was_faulty(&self, from: Instant, to: Instant) -> bool {
         self.faults.lock().iter().any(|period| period.overlaps(from, to))
     }
 }
 
-/// Asks a gateway whether it is ready, as the platform does.
+/// Polls the readiness of a gateway, as the platform does, and updates its rotation state.
 pub(super) async fn poll_readiness(gateway: Arc<GatewayStatus>, http: reqwest::Client) {
-    let mut polls = tokio::time::interval(POLL_EVERY);
+    let mut polls = tokio::time::interval(POLL_INTERVAL);
     let mut misses = 0;
     loop {
         polls.tick().await;
         let addr = gateway.addrs.lock().readiness.to_string();
         misses = if readiness(&http, &addr).await == 200 { 0 } else { misses + 1 };
-        *gateway.is_in_rotation.lock() = misses < MISSES;
+        *gateway.is_in_rotation.lock() = misses < MAX_MISSES;
     }
 }
--- a/tests/all/soak/mod.rs
+++ b/tests/all/soak/mod.rs
@@ -1,13 +1,17 @@
-//! A randomized soak of the gateways: real processes, real signals, and connections that
-//! proxies delay, reset, silence and refuse, while callers go on sending requests.
+//! Randomized soak test of the gateways: real processes, real signals, and proxies that delay,
+//! reset, silence and refuse connections while callers keep sending requests.
 //!
-//! A run is known by its seed, which gives the faults and their times; what happens then
-//! also depends on the machine. The invariants are checked from what callers and upstreams
-//! have recorded, and at the end from the gateways' state dumps.
+//! The seed of a run determines the faults and their times. The interleaving also depends on the
+//! machine, so a seed doesn't reproduce a run exactly. The invariants are checked against what
+//! callers and upstreams recorded, and at the end against the gateways' state dumps.
+//!
+//! Begin with `plan`, which draws the faults, and `faults`, which injects them into the `fleet`.
+//! `invariants`, `fragile`, `zones` and `reports` check the recorded requests.
 //!
 //! By hand: `STALLHOIST_SOAK_SEEDS=1..51 STALLHOIST_SOAK_SECONDS=20 cargo test --release
 //! --test all soak -- --nocapture`, and `STALLHOIST_SOAK_GATEWAYS=40` for other than four. Without the
-//! variables, in every test run, two seeds are played for a short time. A seed that ever failed is to be added to those, with a line on the cause.
+//! variables, as in every test run, two seeds run for a short time. Add each seed that fails to
+//! them, with a line on the cause.
 
 mod caller;
 mod faults;
@@ -18,10 +22,10 @@
 mod operator_config;
 mod period;
 mod plan;
+mod reports;
 mod supervisor;
 mod upstream;
 mod violations;
-mod words;
 mod zones;
 
 use std::str::FromStr;
@@ -47,41 +51,42 @@
 use crate::harness::wait_until;
 
 const CALLERS: u64 = 32;
-const USUAL_GATEWAYS: usize = 4;
-/// The seeds of every test run. With a mechanism switched off, these noticed it: retries of what
-/// may run once, untrue refusals and a stop that waits for nothing (1), success without a seal
-/// and answers to other requests (5).
-const USUAL_SEEDS: [u64; 2] = [1, 5];
-/// How long faults go on in a run of every test run.
-const SHORT: Duration = Duration::from_secs(6);
-
-/// Soaks run one after another: each takes a dozen processes and a good part of a machine.
+const DEFAULT_GATEWAYS: usize = 4;
+/// The seeds of every test run, which detect these faults when injected into the gateway. Seed 1:
+/// retries of requests that may run only once, rejections of requests that ran, and a stop that
+/// doesn't wait for requests in progress. Seed 5: success without a seal, and responses to other
+/// requests.
+const DEFAULT_SEEDS: [u64; 2] = [1, 5];
+/// The time during which faults begin in the default run.
+const DEFAULT_FAULT_PHASE: Duration = Duration::from_secs(6);
+
+/// Serializes the soak runs: each starts a dozen processes and loads much of a machine.
 static ONE_AT_A_TIME: tokio::sync::Mutex<()> = tokio::sync::Mutex::const_new(());
 
-/// Plays one seed: faults begin during `lasts`. Gives the violations.
-async fn play(seed: u64, lasts: Duration) -> Vec<String> {
+/// Runs one seed, whose faults begin during `duration`. Returns the violations.
+async fn run_seed(seed: u64, duration: Duration) -> Vec<String> {
     let _alone = ONE_AT_A_TIME.lock().await;
     let violations = Violations::default();
-    let gateways = given("GATEWAYS").unwrap_or(USUAL_GATEWAYS);
+    let gateways = from_env("GATEWAYS").unwrap_or(DEFAULT_GATEWAYS);
     let mut fleet = Fleet::start(gateways, &violations).await;
-    wait_until("all gateways are ready", async || are_up_to_date(&fleet).await).await;
+    wait_until("all gateways are ready", async || are_synced(&fleet).await).await;
     let stop = Arc::new(AtomicBool::new(false));
     let callers = start_callers(seed, &fleet, &stop);
-    play_faults(Plan::new(seed, lasts, gateways), &mut fleet).await;
+    inject_faults(Plan::new(seed, duration, gateways), &mut fleet).await;
     fleet.settle().await;
-    let up_to_date = async || are_up_to_date(&fleet).await;
-    wait_until("all gateways know the newest state", up_to_date).await;
+    let up_to_date = async || are_synced(&fleet).await;
+    wait_until("all gateways have the newest state", up_to_date).await;
     stop.store(true, Ordering::SeqCst);
     let mut requests = Vec::new();
     for caller in callers {
         requests.extend(caller.await.expect("a caller does not panic"));
     }
-    requests.extend(fleet.end_series().await);
+    requests.extend(fleet.finish_series().await);
     requests.extend(check_recovery(&fleet, seed, &violations).await);
     invariants::check(&fleet, &requests, &violations);
     fragile::check(&fleet, &requests, &violations);
     zones::check(&fleet, &requests, &violations);
-    words::check(&fleet, &requests, &violations);
+    reports::check(&fleet, &requests, &violations);
     check_service(&requests, &violations);
     println!("{}", summary(seed, &fleet, &requests, &violations));
     violations.all()
@@ -100,16 +105,17 @@
     (0..CALLERS).map(start).collect()
 }
 
-async fn play_faults(plan: Plan, fleet: &mut Fleet) {
+async fn inject_faults(plan: Plan, fleet: &mut Fleet) {
     let began = Instant::now();
     for (at, fault) in plan.faults {
         sleep_until(began + at).await;
-        fleet.begin(fault).await;
+        fleet.inject(fault).await;
     }
 }
 
-/// Whether each gateway is ready, has the newest configuration and lists all upstreams.
-async fn are_up_to_date(fleet: &Fleet) -> bool {
+/// Whether each gateway is ready, has the newest configuration and lists all upstreams that have
+/// not left.
+async fn are_synced(fleet: &Fleet) -> bool {
     let usual = fleet.upstreams.lock().iter().filter(|u| u.left.is_none()).count();
     let listed = usual + fleet.fragile.len();
     for gateway in &fleet.gateways {
@@ -131,32 +137,35 @@
     caller::client().get(format!("http://{addr}/state")).send().await.ok()?.json().await.ok()
 }
 
-/// Sends each gateway each kind of request once all faults have ended, and checks that it
-/// serves them and refuses the keys that were withdrawn. Gives the requests, for the other checks.
+/// Sends each kind of request to each gateway after all faults have ended. Checks that it serves
+/// them and rejects the withdrawn keys. Returns the requests for the other checks.
 async fn check_recovery(fleet: &Fleet, seed: u64, violations: &Violations) -> Vec<RequestRecord> {
     let http = caller::client();
     let mut requests = Vec::new();
     for gateway in &fleet.gateways {
         for kind in Kind::ALL {
             let id = format!("s{seed}-end-{}", requests.len());
-            let request = caller::ask(&http, gateway, kind, KEY, id).await;
+            let request = caller::send_request(&http, gateway, kind, KEY, id).await;
             if served(std::slice::from_ref(&request)) == 0 {
-                violations.add(format!("not served though all is well: {request:?}"));
+                violations.add(format!("not served although all faults have ended: {request:?}"));
             }
             requests.push(request);
         }
         for key in &fleet.config.withdrawn_keys {
-            let request = caller::ask(&http, gateway, Kind::Safe, key, "withdrawn".into()).await;
+            let request =
+                caller::send_request(&http, gateway, Kind::Safe, key, "withdrawn".into()).await;
             let status = request.answer.map(|answer| answer.status);
             if status != Some(401) {
-                violations.add(format!("{key} was withdrawn, and its caller got {status:?}"));
+                violations
+                    .add(format!("{key} was withdrawn, but a request with it got {status:?}"));
             }
         }
     }
     requests
 }
 
-/// A run in which hardly anything is answered proves nothing.
+/// Checks that at least a quarter of the requests were served, as the other checks prove little
+/// without responses.
 fn check_service(requests: &[RequestRecord], violations: &Violations) {
     let served = served(requests);
     let others = requests.iter().filter(|request| request.kind != Kind::Fatal).count();
@@ -176,11 +185,11 @@
     requests: &[RequestRecord],
     violations: &Violations,
 ) -> String {
-    let broken = violations.all().len();
+    let violated = violations.all().len();
     let processes = requests.iter().map(|request| request.generation).max().unwrap_or(0);
     format!(
-        "seed {seed}: {} of {} served, up to {processes} processes of a gateway, {broken} broken; \
-         {} fatal requests, {} ends, {} others held back",
+        "seed {seed}: {} of {} served, up to {processes} processes of a gateway, {violated} violations; \
+         {} fatal requests, {} crashes, {} others quarantined",
         served(requests),
         requests.len(),
         fleet.series,
@@ -189,33 +198,33 @@
     )
 }
 
-async fn play_all(seeds: impl IntoIterator<Item = u64>, lasts: Duration) {
+async fn run_seeds(seeds: impl IntoIterator<Item = u64>, duration: Duration) {
     let mut failed = Vec::new();
     for seed in seeds {
-        let broken = play(seed, lasts).await;
-        if !broken.is_empty() {
-            failed.push((seed, broken));
+        let violated = run_seed(seed, duration).await;
+        if !violated.is_empty() {
+            failed.push((seed, violated));
         }
     }
     assert!(failed.is_empty(), "invariants were violated: {failed:#?}");
 }
 
-/// The seeds that an operator gives, as `FROM..TO`.
-fn given_seeds() -> Option<Vec<u64>> {
+/// The seeds in `STALLHOIST_SOAK_SEEDS`, as `FROM..TO`, where `TO` is excluded.
+fn seeds_from_env() -> Option<Vec<u64>> {
     let text = std::env::var("STALLHOIST_SOAK_SEEDS").ok()?;
-    let (from, to) = text.split_once("..").expect("seeds are given as FROM..TO");
-    let number = |text: &str| text.parse().expect("a seed is a number");
+    let (from, to) = text.split_once("..").expect("STALLHOIST_SOAK_SEEDS has the form FROM..TO");
+    let number = |text: &str| text.parse().expect("a seed is an unsigned integer");
     Some((number(from)..number(to)).collect())
 }
 
-/// A number that an operator gives.
-fn given<T: FromStr>(name: &str) -> Option<T> {
+/// The number in the environment variable `STALLHOIST_SOAK_<name>`.
+fn from_env<T: FromStr>(name: &str) -> Option<T> {
     let text = std::env::var(format!("STALLHOIST_SOAK_{name}")).ok()?;
-    Some(text.parse().unwrap_or_else(|_| panic!("{name}: {text} is no number")))
+    Some(text.parse().unwrap_or_else(|_| panic!("STALLHOIST_SOAK_{name}: {text} is not a number")))
 }
 
 case!(invariants_hold_through_the_faults_of_each_seed, async {
-    let seeds = given_seeds().unwrap_or(USUAL_SEEDS.to_vec());
-    let lasts = given("SECONDS").map_or(SHORT, Duration::from_secs);
-    play_all(seeds, lasts).await;
+    let seeds = seeds_from_env().unwrap_or(DEFAULT_SEEDS.to_vec());
+    let duration = from_env("SECONDS").map_or(DEFAULT_FAULT_PHASE, Duration::from_secs);
+    run_seeds(seeds, duration).await;
 });
--- a/tests/all/soak/period.rs
+++ b/tests/all/soak/period.rs
@@ -1,9 +1,9 @@
-//! Times in which a part of the fleet was faulty.
+//! Periods during which a part of the fleet is faulty.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// A time in which something was faulty, both ends included.
+/// A period with both ends included.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Period {
     pub(super) from: Instant,
@@ -11,9 +11,9 @@
 }
 
 impl Period {
-    pub(super) fn from_now(lasts: Duration) -> Self {
+    pub(super) fn from_now(duration: Duration) -> Self {
         let from = Instant::now();
-        Self { from, to: from + lasts }
+        Self { from, to: from + duration }
     }
 
     pub(super) fn overlaps(&self, from: Instant, to: Instant) -> bool {
--- a/tests/all/soak/plan.rs
+++ b/tests/all/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run, and when: drawn from the seed alone.
+//! The schedule of faults of a run, drawn from the seed alone.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -8,59 +8,60 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use super::words::Word;
+use super::reports::Report;
 
-/// Gateways of a run, and upstreams of each service.
+/// Upstreams of each service.
 pub(super) const UPSTREAMS: usize = 4;
 
-/// The time between two faults; they last longer than that, so that several overlap.
+/// The interval between two faults. Faults last longer than the interval, so that several overlap.
 const FAULT_EVERY_MS: Range<u64> = 120..520;
-const FAULT_LASTS_MS: Range<u64> = 300..2_200;
+const FAULT_DURATION_MS: Range<u64> = 300..2_200;
 
-/// The same for what makes transfers long.
+/// The interval between faults that slow transfers down.
 const TRANSFER_FAULT_EVERY_MS: Range<u64> = 400..1_600;
 const TRANSFERS_SEED: u64 = 0x5107_11AC;
 
-/// The same for entries of the list of upstreams.
+/// The interval between faults of rows in the list of upstreams.
 const LIST_FAULT_EVERY_MS: Range<u64> = 500..2_000;
-const LISTS_SEED: u64 = 0xB042_0115;
+const LIST_FAULTS_SEED: u64 = 0xB042_0115;
 
-/// The same for requests that end upstreams.
+/// The interval between series of requests that crash upstreams.
 const FATAL_SERIES_EVERY_MS: Range<u64> = 1_200..4_000;
 const FATAL_SERIES_SEED: u64 = 0xFA7A_15E1;
 
-/// The same for zones that are emptied and upstreams that turn cold, for longer than it takes until
-/// all know.
+/// The interval between faults that empty a zone or put an upstream into warm-up. They last longer
+/// than it takes until all gateways have received the change.
 const ZONE_FAULT_EVERY_MS: Range<u64> = 900..2_500;
-const ZONE_FAULT_LASTS_MS: Range<u64> = 4_500..7_000;
+const ZONE_FAULT_DURATION_MS: Range<u64> = 4_500..7_000;
 const ZONES_SEED: u64 = 0xC01D_2043;
 
-/// The same for what upstreams say of themselves, for longer than it takes until a limit is in force.
-const WORD_EVERY_MS: Range<u64> = 700..2_000;
-const WORD_LASTS_MS: Range<u64> = 4_500..8_000;
+/// The interval between reports that upstreams make of themselves. They last longer than it takes
+/// until a limit is active.
+const REPORT_EVERY_MS: Range<u64> = 700..2_000;
+const REPORT_DURATION_MS: Range<u64> = 4_500..8_000;
 const LIMITS_IN_TEN_S: Range<u32> = 3..60;
-const WORDS_SEED: u64 = 0x5A15_0046;
+const REPORTS_SEED: u64 = 0x5A15_0046;
 
-/// When the store next comes back from a copy.
-const RETURN_EVERY_MS: Range<u64> = 2_500..6_000;
-const RETURNS_SEED: u64 = 0xE4A5_0037;
+/// The interval between restorations of the store from a copy.
+const RESTORE_EVERY_MS: Range<u64> = 2_500..6_000;
+const RESTORES_SEED: u64 = 0xE4A5_0037;
 
 /// A fault of the connection between two processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LinkFault {
-    /// Connections in place are reset; new ones come up.
+    /// Open connections are reset; new ones can be opened.
     Reset,
-    /// Connections are reset and refused.
+    /// Open connections are reset and new ones are refused.
     Severed,
-    /// What the side that connects sends does not arrive.
-    SilentForth,
-    /// What the other side answers does not arrive.
-    SilentBack,
-    /// Everything arrives late.
+    /// Data from the side that connects is not delivered.
+    SilentToServer,
+    /// Data to the side that connects is not delivered.
+    SilentToClient,
+    /// All data is delivered late.
     Delayed,
-    /// Connections in place fall silent for good; new ones come up.
+    /// Open connections deliver nothing more and are not closed; new ones can be opened.
     Silenced,
-    /// The link carries little.
+    /// The bandwidth is limited.
     Slow,
 }
 
@@ -71,27 +72,27 @@
     TooManyCalls,
     Silent,
     LostAnswers,
-    /// It is unavailable, and meanwhile all entries of upstreams lapse.
+    /// It is unavailable, and meanwhile all rows of upstreams expire.
     Lapse,
-    /// It forgets its history of changes.
+    /// It discards its history of changes.
     HistoryGone,
 }
 
-/// What a faulty upstream does with some requests.
+/// How a faulty upstream handles some requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum UpstreamFault {
     Fails,
-    TurnsAway,
-    IsAnother,
-    AnswersAnother,
-    LacksSeal,
+    Rejects,
+    Misdirects,
+    AnswersWrongRequest,
+    OmitsSeal,
     CutsBody,
     CutsBeforeReply,
     Hangs,
     CutsStream,
 }
 
-/// Something that goes wrong, or that operators do.
+/// A fault, or an action of operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Fault {
     Kill {
@@ -102,108 +103,109 @@
     },
     Freeze {
         gateway: usize,
-        lasts: Duration,
+        duration: Duration,
     },
     HangUp {
         gateway: usize,
     },
-    /// Several gateways are killed at the same moment.
+    /// Several gateways are killed at once.
     KillMany {
         gateways: usize,
     },
     StoreLink {
         gateway: usize,
         kind: LinkFault,
-        lasts: Duration,
+        duration: Duration,
     },
     Store {
         kind: StoreFaultKind,
-        lasts: Duration,
+        duration: Duration,
     },
-    /// The store comes back from a copy, so old.
-    StoreReturn {
-        lasts: Duration,
+    /// The store is restored from a copy of age `duration`.
+    StoreRestore {
+        duration: Duration,
     },
     UpstreamLink {
         upstream: usize,
         kind: LinkFault,
-        lasts: Duration,
+        duration: Duration,
     },
     Upstream {
         upstream: usize,
         kind: UpstreamFault,
         requests: usize,
     },
-    /// An upstream leaves, with or without saying so before, and another one comes.
+    /// An upstream leaves, announced or not, after a replacement has started.
     Leave {
         upstream: usize,
         is_announced: bool,
     },
-    /// An upstream starts again under its id, and a report of its earlier start comes late.
-    StartAgain {
+    /// An upstream restarts under its ID, and a row of its previous incarnation is written late.
+    Restart {
         upstream: usize,
     },
-    /// Another writer's entry stands in the list of upstreams: in place of an upstream's own for a
-    /// while, or beside them.
-    AnotherWriter {
+    /// Another writer's row is in the list of upstreams: it replaces an upstream's own row for a
+    /// while, or is an additional one.
+    ForeignRow {
         upstream: Option<usize>,
-        lasts: Duration,
+        duration: Duration,
     },
     Reconfigure,
-    /// Operators empty a zone, and take it back.
+    /// Operators empty an availability zone and later restore it.
     EmptyZone {
-        lasts: Duration,
+        duration: Duration,
     },
-    /// An upstream turns cold.
-    TurnCold {
+    /// An upstream is warming up.
+    WarmUp {
         upstream: usize,
-        lasts: Duration,
+        duration: Duration,
     },
-    /// An upstream says something of itself in its answers.
-    Says {
+    /// An upstream reports something about itself in its response headers.
+    SelfReport {
         upstream: usize,
-        word: Word,
-        lasts: Duration,
+        report: Report,
+        duration: Duration,
     },
-    /// A caller begins to send a request that ends upstreams, again and again.
+    /// A caller begins to send a request that crashes upstreams repeatedly.
     FatalSeries,
-    /// The configuration grows by many routes.
+    /// Many routes are added to the configuration.
     Grow,
-    /// The oldest valid key is withdrawn, and a new one given.
+    /// The oldest valid key is withdrawn and a new one is issued.
     ReplaceKey,
 }
 
-/// The faults of a run with their times, in order.
+/// The faults of a run with the times at which they begin, in order.
 #[derive(Debug)]
 pub(super) struct Plan {
     pub(super) faults: Vec<(Duration, Fault)>,
 }
 
 impl Plan {
-    /// The plan of a seed for so many gateways, whose faults begin within `lasts`.
-    pub(super) fn new(seed: u64, lasts: Duration, gateways: usize) -> Self {
+    /// Draws the faults of a seed, which begin within `duration`.
+    pub(super) fn new(seed: u64, duration: Duration, gateways: usize) -> Self {
         let draw = |rng: &mut StdRng| draw(rng, gateways);
         let draw_transfer = |rng: &mut StdRng| draw_transfer(rng, gateways);
-        let mut faults = draw_all(seed, FAULT_EVERY_MS, lasts, draw);
-        // Drawn apart, so that the other faults of a seed stay what they were.
+        let mut faults = draw_all(seed, FAULT_EVERY_MS, duration, draw);
+        // Each group has its own generator, so that a new group leaves the other faults of a seed
+        // unchanged.
         let transfers = seed ^ TRANSFERS_SEED;
-        faults.extend(draw_all(transfers, TRANSFER_FAULT_EVERY_MS, lasts, draw_transfer));
-        faults.extend(draw_all(seed ^ LISTS_SEED, LIST_FAULT_EVERY_MS, lasts, draw_list));
+        faults.extend(draw_all(transfers, TRANSFER_FAULT_EVERY_MS, duration, draw_transfer));
+        faults.extend(draw_all(seed ^ LIST_FAULTS_SEED, LIST_FAULT_EVERY_MS, duration, draw_list));
         let series = seed ^ FATAL_SERIES_SEED;
-        faults.extend(draw_all(series, FATAL_SERIES_EVERY_MS, lasts, |_| Fault::FatalSeries));
-        faults.extend(draw_all(seed ^ ZONES_SEED, ZONE_FAULT_EVERY_MS, lasts, draw_zone));
-        faults.extend(draw_all(seed ^ WORDS_SEED, WORD_EVERY_MS, lasts, draw_word));
-        faults.extend(draw_all(seed ^ RETURNS_SEED, RETURN_EVERY_MS, lasts, draw_return));
+        faults.extend(draw_all(series, FATAL_SERIES_EVERY_MS, duration, |_| Fault::FatalSeries));
+        faults.extend(draw_all(seed ^ ZONES_SEED, ZONE_FAULT_EVERY_MS, duration, draw_zone));
+        faults.extend(draw_all(seed ^ REPORTS_SEED, REPORT_EVERY_MS, duration, draw_report));
+        faults.extend(draw_all(seed ^ RESTORES_SEED, RESTORE_EVERY_MS, duration, draw_restore));
         faults.sort_by_key(|(at, _)| *at);
         Self { faults }
     }
 }
 
-/// Faults of one kind with their times, which begin within `lasts`.
+/// Draws one group of faults, which begin within `duration`.
 fn draw_all(
     seed: u64,
     every_ms: Range<u64>,
-    lasts: Duration,
+    duration: Duration,
     draw_one: impl Fn(&mut StdRng) -> Fault,
 ) -> Vec<(Duration, Fault)> {
     let mut rng = StdRng::seed_from_u64(seed);
@@ -211,77 +213,77 @@
     let mut faults = Vec::new();
     loop {
         at += Duration::from_millis(rng.random_range(every_ms.clone()));
-        if at >= lasts {
+        if at >= duration {
             return faults;
         }
         faults.push((at, draw_one(&mut rng)));
     }
 }
 
-/// What makes transfers long, or lets them never end.
+/// Draws a fault that makes transfers slow or endless.
 fn draw_transfer(rng: &mut StdRng, gateways: usize) -> Fault {
     let gateway = rng.random_range(0..gateways);
     let upstream = rng.random_range(0..2 * UPSTREAMS);
-    let lasts = Duration::from_millis(rng.random_range(FAULT_LASTS_MS));
+    let duration = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
     match rng.random_range(0..4) {
         0 => Fault::Grow,
-        1 => Fault::StoreLink { gateway, kind: LinkFault::Slow, lasts },
-        2 => Fault::StoreLink { gateway, kind: LinkFault::Silenced, lasts },
-        _ => Fault::UpstreamLink { upstream, kind: LinkFault::Silenced, lasts },
+        1 => Fault::StoreLink { gateway, kind: LinkFault::Slow, duration },
+        2 => Fault::StoreLink { gateway, kind: LinkFault::Silenced, duration },
+        _ => Fault::UpstreamLink { upstream, kind: LinkFault::Silenced, duration },
     }
 }
 
-/// An upstream that starts again, or an entry of another writer.
+/// Draws a restart of an upstream, or a row of another writer.
 fn draw_list(rng: &mut StdRng) -> Fault {
     let upstream = rng.random_range(0..2 * UPSTREAMS);
-    let lasts = Duration::from_millis(rng.random_range(FAULT_LASTS_MS));
+    let duration = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
     match rng.random_range(0..4) {
-        0 => Fault::AnotherWriter { upstream: None, lasts },
-        1 => Fault::AnotherWriter { upstream: Some(upstream), lasts },
-        _ => Fault::StartAgain { upstream },
+        0 => Fault::ForeignRow { upstream: None, duration },
+        1 => Fault::ForeignRow { upstream: Some(upstream), duration },
+        _ => Fault::Restart { upstream },
     }
 }
 
-/// A zone that is emptied, or an upstream that turns cold.
+/// Draws a zone to empty, or an upstream that warms up.
 fn draw_zone(rng: &mut StdRng) -> Fault {
     let upstream = rng.random_range(0..2 * UPSTREAMS);
-    let lasts = Duration::from_millis(rng.random_range(ZONE_FAULT_LASTS_MS));
+    let duration = Duration::from_millis(rng.random_range(ZONE_FAULT_DURATION_MS));
     match rng.random_range(0..3) {
-        0 => Fault::EmptyZone { lasts },
-        _ => Fault::TurnCold { upstream, lasts },
+        0 => Fault::EmptyZone { duration },
+        _ => Fault::WarmUp { upstream, duration },
     }
 }
 
-/// A store that comes back from a copy.
-fn draw_return(rng: &mut StdRng) -> Fault {
-    Fault::StoreReturn { lasts: Duration::from_millis(rng.random_range(FAULT_LASTS_MS)) }
+/// Draws a restoration of the store from a copy.
+fn draw_restore(rng: &mut StdRng) -> Fault {
+    Fault::StoreRestore { duration: Duration::from_millis(rng.random_range(FAULT_DURATION_MS)) }
 }
 
-/// What an upstream says of itself.
-fn draw_word(rng: &mut StdRng) -> Fault {
+/// Draws a report of an upstream about itself.
+fn draw_report(rng: &mut StdRng) -> Fault {
     let upstream = rng.random_range(0..2 * UPSTREAMS);
-    let lasts = Duration::from_millis(rng.random_range(WORD_LASTS_MS));
-    let word = match rng.random_range(0..4) {
-        0 => Word::Leaving,
-        1 => Word::Rest,
-        _ => Word::Limit(rng.random_range(LIMITS_IN_TEN_S)),
+    let duration = Duration::from_millis(rng.random_range(REPORT_DURATION_MS));
+    let report = match rng.random_range(0..4) {
+        0 => Report::Leaving,
+        1 => Report::BackOff,
+        _ => Report::Limit(rng.random_range(LIMITS_IN_TEN_S)),
     };
-    Fault::Says { upstream, word, lasts }
+    Fault::SelfReport { upstream, report, duration }
 }
 
 fn draw(rng: &mut StdRng, gateways: usize) -> Fault {
     let gateway = rng.random_range(0..gateways);
     let upstream = rng.random_range(0..2 * UPSTREAMS);
-    let lasts = Duration::from_millis(rng.random_range(FAULT_LASTS_MS));
+    let duration = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
     match rng.random_range(0..28) {
         0..3 => Fault::Terminate { gateway },
         3..5 => Fault::Kill { gateway },
-        5..7 => Fault::Freeze { gateway, lasts },
+        5..7 => Fault::Freeze { gateway, duration },
         7 => Fault::HangUp { gateway },
         8 => Fault::KillMany { gateways: rng.random_range(2..=gateways) },
-        9..12 => Fault::StoreLink { gateway, kind: draw_link(rng), lasts },
-        12..14 => Fault::Store { kind: draw_store(rng), lasts },
-        14..17 => Fault::UpstreamLink { upstream, kind: draw_link(rng), lasts },
+        9..12 => Fault::StoreLink { gateway, kind: draw_link(rng), duration },
+        12..14 => Fault::Store { kind: draw_store(rng), duration },
+        14..17 => Fault::UpstreamLink { upstream, kind: draw_link(rng), duration },
         17..24 => {
             let requests = rng.random_range(3..12);
             Fault::Upstream { upstream, kind: draw_upstream(rng), requests }
@@ -296,8 +298,8 @@
     match rng.random_range(0..5) {
         0 => LinkFault::Reset,
         1 => LinkFault::Severed,
-        2 => LinkFault::SilentForth,
-        3 => LinkFault::SilentBack,
+        2 => LinkFault::SilentToServer,
+        3 => LinkFault::SilentToClient,
         _ => LinkFault::Delayed,
     }
 }
@@ -316,10 +318,10 @@
 fn draw_upstream(rng: &mut impl Rng) -> UpstreamFault {
     match rng.random_range(0..9) {
         0 => UpstreamFault::Fails,
-        1 => UpstreamFault::TurnsAway,
-        2 => UpstreamFault::IsAnother,
-        3 => UpstreamFault::AnswersAnother,
-        4 => UpstreamFault::LacksSeal,
+        1 => UpstreamFault::Rejects,
+        2 => UpstreamFault::Misdirects,
+        3 => UpstreamFault::AnswersWrongRequest,
+        4 => UpstreamFault::OmitsSeal,
         5 => UpstreamFault::CutsBody,
         6 => UpstreamFault::CutsBeforeReply,
         7 => UpstreamFault::Hangs,
--- a/tests/all/soak/upstream.rs
+++ b/tests/all/soak/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstreams of a run, each behind a proxy that can fail.
+//! The upstreams of a run, each behind a fault proxy.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,70 +13,79 @@
 use super::period::Period;
 use super::plan::UPSTREAMS;
 use super::plan::UpstreamFault;
-use super::words::Said;
-use super::words::UPSTREAM;
+use super::reports::ReportHistory;
+use super::reports::UPSTREAM;
 use crate::gateway::world::ENGINE;
 use crate::gateway::world::PLAIN;
 
-/// The events of each stream, and the time before each.
+/// The events of each stream, and the interval before each.
 pub(super) const EVENTS: u64 = 12;
-const EVENT_PAUSE: Duration = Duration::from_millis(50);
-/// How long a call takes: long enough for many to be in progress when a process stops.
+const EVENT_INTERVAL: Duration = Duration::from_millis(50);
+/// The duration of a call, long enough that many are in progress when a process stops.
 const CALL_TIME: Duration = Duration::from_millis(250);
 
-/// An upstream, the proxy before it, and when it began to leave.
+/// An upstream, its proxy, and its condition during the run.
 #[derive(Debug)]
 pub(super) struct Upstream {
     pub(super) standin: UpstreamStandin,
     pub(super) proxy: FaultProxy,
     pub(super) service: &'static str,
     pub(super) zone: String,
-    /// When it was, or will have been, cold.
+    /// The past and planned periods in which it warms up.
     pub(super) cold: Vec<Period>,
-    /// When its present start was, by its own clock.
-    born_ms: u64,
+    /// The start time of its current incarnation, by its own clock.
+    started_at_ms: u64,
     pub(super) left: Option<Instant>,
-    /// What it has said of itself.
-    pub(super) said: Said,
+    /// What it has reported about itself.
+    pub(super) reports: ReportHistory,
 }
 
-/// When the first start of each upstream was, and the time between two.
-const FIRST_BORN_MS: u64 = 1_760_000_000_000;
-const BORN_STEP_MS: u64 = 1_000;
+/// The start time of each upstream's first incarnation, and the increment for each restart.
+const FIRST_START_MS: u64 = 1_760_000_000_000;
+const START_STEP_MS: u64 = 1_000;
 
 impl Upstream {
     pub(super) async fn start(number: usize, service: &'static str) -> Self {
-        let usual = usual_behaviour(service);
+        let usual = default_behaviour(service);
         let standin = UpstreamStandin::start(&format!("i-{number}"), usual).await;
         let standin = standin.expect("an upstream starts");
         let proxy = FaultProxy::start(standin.addr()).await.expect("a proxy starts");
         standin.says(UPSTREAM, standin.instance());
         let zone = format!("zone-{}", number % 2);
         let cold = Vec::new();
-        let said = Said::default();
-        Self { standin, proxy, service, zone, cold, born_ms: FIRST_BORN_MS, left: None, said }
+        let reports = ReportHistory::default();
+        Self {
+            standin,
+            proxy,
+            service,
+            zone,
+            cold,
+            started_at_ms: FIRST_START_MS,
+            left: None,
+            reports,
+        }
     }
 
-    /// It starts again under its id: what is in progress there is cut.
-    pub(super) fn start_again(&mut self, store: &StoreStandin) {
-        self.born_ms += BORN_STEP_MS;
+    /// Restarts it under its ID. Requests in progress are cut.
+    pub(super) fn restart(&mut self, store: &StoreStandin) {
+        self.started_at_ms += START_STEP_MS;
         self.proxy.cut();
         self.list(store, "ready");
     }
 
-    /// A report of its earlier start comes late.
-    pub(super) fn list_earlier_start(&self, store: &StoreStandin) {
+    /// Writes a late row of its previous incarnation.
+    pub(super) fn list_earlier_incarnation(&self, store: &StoreStandin) {
         let mut entry = self.entry("ready");
-        entry["born"] = json!(self.born_ms - BORN_STEP_MS);
+        entry["born"] = json!(self.started_at_ms - START_STEP_MS);
         store.put("servers", self.standin.instance(), entry);
     }
 
-    /// Another writer's entry stands in place of its own.
-    pub(super) fn overwrite(&self, store: &StoreStandin) {
+    /// Replaces its row by one of another writer, which cannot be parsed.
+    pub(super) fn replace_row(&self, store: &StoreStandin) {
         store.put_raw("servers", self.standin.instance(), "*** of another writer ***");
     }
 
-    /// Writes its entry to the store, with the address of its proxy.
+    /// Writes its row to the store, with the address of its proxy.
     pub(super) fn list(&self, store: &StoreStandin, state: &str) {
         store.put("servers", self.standin.instance(), self.entry(state));
     }
@@ -84,7 +93,7 @@
     fn entry(&self, state: &str) -> Value {
         let mut entry = self.standin.entry(self.service, &self.zone, "v1", state);
         entry["address"] = json!(self.proxy.addr().to_string());
-        entry["born"] = json!(self.born_ms);
+        entry["born"] = json!(self.started_at_ms);
         entry["cold_remaining_ms"] = json!(self.cold_remaining().as_millis() as u64);
         entry
     }
@@ -115,18 +124,18 @@
     }
 }
 
-fn usual_behaviour(service: &str) -> Behaviour {
+fn default_behaviour(service: &str) -> Behaviour {
     if service == ENGINE { stream(Some(80), None) } else { Behaviour::Echo { after: CALL_TIME } }
 }
 
-/// What an upstream with a fault does with a request.
+/// The behaviour of an upstream under a fault.
 pub(super) fn faulty_behaviour(fault: UpstreamFault) -> Behaviour {
     match fault {
         UpstreamFault::Fails => Behaviour::Fail,
-        UpstreamFault::TurnsAway => Behaviour::NotExecuted,
-        UpstreamFault::IsAnother => Behaviour::Misdirected,
-        UpstreamFault::AnswersAnother => Behaviour::WrongId,
-        UpstreamFault::LacksSeal => Behaviour::NoSeal,
+        UpstreamFault::Rejects => Behaviour::NotExecuted,
+        UpstreamFault::Misdirects => Behaviour::Misdirected,
+        UpstreamFault::AnswersWrongRequest => Behaviour::WrongId,
+        UpstreamFault::OmitsSeal => Behaviour::NoSeal,
         UpstreamFault::CutsBody => Behaviour::CutBody,
         UpstreamFault::CutsBeforeReply => Behaviour::CutBeforeReply,
         UpstreamFault::Hangs => Behaviour::Hang,
@@ -135,5 +144,5 @@
 }
 
 fn stream(confidence: Option<u8>, torn_after: Option<u64>) -> Behaviour {
-    Behaviour::Stream { events: EVENTS, pause: EVENT_PAUSE, confidence, torn_after }
+    Behaviour::Stream { events: EVENTS, pause: EVENT_INTERVAL, confidence, torn_after }
 }
--- a/tests/all/soak/violations.rs
+++ b/tests/all/soak/violations.rs
@@ -1,10 +1,10 @@
-//! The violated invariants of a run.
+//! Collects the invariants that a run violated.
 
 use std::sync::Arc;
 
 use parking_lot::Mutex;
 
-/// The violated invariants of a run.
+/// Descriptions of violated invariants, shared between tasks.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Violations(Arc<Mutex<Vec<String>>>);
 
