--- a/benches/coordination.rs
+++ b/benches/coordination.rs
@@ -64,7 +64,7 @@
             fleet.platform.set_faults(outage());
         }
         let revision = reply["revision"].as_u64().unwrap_or_default();
-        fleet.wait_in_force(revision).await;
+        fleet.wait_until_active(revision).await;
         times.push(accepted.elapsed().as_secs_f64() * 1_000.0);
         fleet.platform.set_faults(Faults::default());
     }
