--- a/tests/all/case.rs
+++ b/tests/all/case.rs
@@ -1,6 +1,6 @@
-//! The macro that names each case.
+//! The macro that defines an asynchronous test.
 
-/// Names a case of an asynchronous test: its body runs on a runtime of its own.
+/// Defines a test from a name and a future, which runs on its own multi-threaded runtime.
 macro_rules! case {
     ($name:ident, $body:expr) => {
         #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/tests/all/explain.rs
+++ b/tests/all/explain.rs
@@ -1,4 +1,4 @@
-//! `stallhoist explain`: from a request's id to its cause.
+//! Tests `stallhoist explain`, which extracts from a log what explains a request's result.
 
 use std::io::Write;
 use std::process::Command;
@@ -16,7 +16,8 @@
 {"timestamp":"10:00:07","level":"INFO","message":"draining","kvs":{}}
 "#;
 
-/// Gives the log on standard input; the exit code and what was said.
+/// Runs the command with the log on standard input. Returns the exit code, standard output and
+/// standard error.
 fn explain(id: &str) -> (Option<i32>, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_stallhoist"))
         .args(["explain", id])
@@ -26,15 +27,15 @@
         .spawn()
         .expect("the program starts");
     let mut stdin = child.stdin.take().expect("standard input is piped");
-    stdin.write_all(LOG.as_bytes()).expect("the log is taken");
+    stdin.write_all(LOG.as_bytes()).expect("the program reads the log");
     drop(stdin);
-    let output = child.wait_with_output().expect("the program ends");
+    let output = child.wait_with_output().expect("the program exits");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
 #[test]
-fn a_request_is_shown_with_what_was_believed() {
+fn a_request_is_shown_with_the_state_that_explains_it() {
     let (code, shown, _) = explain("id-2");
     assert_eq!(code, Some(0));
     expect![[r#"
--- a/tests/all/local.rs
+++ b/tests/all/local.rs
@@ -1,4 +1,5 @@
-//! `stallhoist local`: the main job of the README.
+//! Tests `stallhoist local` as the README uses it: it serves models and services, and stops on
+//! SIGTERM.
 
 use std::process::Child;
 use std::process::Command;
@@ -14,7 +15,7 @@
 use crate::harness::send;
 use crate::harness::wait_until;
 
-/// Ends the program with the test.
+/// Kills the program when the test ends.
 struct Local(Child);
 
 impl Drop for Local {
@@ -35,10 +36,10 @@
         .spawn()
         .expect("the program starts");
     let mut local = Local(child);
-    let read =
+    let read_addresses =
         || -> Option<Value> { serde_json::from_str(&std::fs::read_to_string(&file).ok()?).ok() };
-    wait_until("the addresses are written", || async { read().is_some() }).await;
-    let addresses = read().expect("addresses");
+    wait_until("the addresses are written", || async { read_addresses().is_some() }).await;
+    let addresses = read_addresses().expect("addresses");
     let text = |key: &str| addresses[key].as_str().expect("a text").to_owned();
     let callers = text("callers_url").replace("http://", "").parse().expect("an address");
     let caller = Caller::new(callers).with_key(&text("workspace_key"));
@@ -50,10 +51,10 @@
     }
     let answer = send(caller.call("ledger", "fund", "k", "x")).await.expect("an answer");
     assert_eq!(answer.outcome, "completed");
-    let id = i32::try_from(local.0.id()).expect("process numbers are small");
+    let id = i32::try_from(local.0.id()).expect("a process ID fits in 32 bits");
     kill(Pid::from_raw(id), Signal::SIGTERM).expect("the program can be signalled");
     let child = std::sync::Mutex::new(&mut local.0);
-    wait_until("it has ended", || async {
+    wait_until("the program has exited", || async {
         let status = child.lock().expect("nobody panicked").try_wait().expect("can be waited for");
         status.is_some_and(|status| status.success())
     })
--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,5 +1,5 @@
-//! Integration tests: real processes on loopback, stand-ins in the test's own process,
-//! and a fault-injecting proxy before each sidecar.
+//! Integration tests. The daemons are real processes on the loopback interface; the stand-ins, and a
+//! fault-injecting proxy before each sidecar, run in the test's own process.
 
 mod callers;
 mod cascade;
--- a/tests/all/promises/allowed.rs
+++ b/tests/all/promises/allowed.rs
@@ -24,7 +24,7 @@
     assert!(fleet.engines[1].executions().is_empty());
 });
 
-// An entry that was frozen over the edit still believes the old table when it wakes.
+// An entry that is suspended during the edit still has the old table when it resumes.
 case!(entry_frozen_over_the_edit_runs_nothing_forbidden, async {
     let fleet = Fleet::start(Plan { entries: 2, engines: vec!["m@v1"], ..Plan::default() }).await;
     fleet.entries[1].freeze();
--- a/tests/all/promises/at_most_once.rs
+++ b/tests/all/promises/at_most_once.rs
@@ -32,9 +32,9 @@
     assert!(counts.values().all(|count| *count == 1), "run more than once: {counts:?}");
 }
 
-/// A caller that does not let go: it repeats until it hears that the key is taken, that
-/// it completed, or that nobody knows.
-async fn insist(callers: Vec<Caller>, key: String) -> String {
+/// Repeats a request until its key is rejected as a duplicate, or its outcome is other than
+/// "not-run". Returns the last outcome, or "gave up" after 200 attempts.
+async fn retry_until_settled(callers: Vec<Caller>, key: String) -> String {
     for round in 0..200 {
         let caller = &callers[round % callers.len()];
         let Some(answer) = send(caller.call("ledger", "fund", &key, "x")).await else {
@@ -47,9 +47,9 @@
     "gave up".to_owned()
 }
 
-fn insistent(fleet: &Fleet, keys: usize) -> Vec<impl Future<Output = String> + use<>> {
+fn retrying_callers(fleet: &Fleet, keys: usize) -> Vec<impl Future<Output = String> + use<>> {
     let callers = vec![fleet.caller(0), fleet.caller(1)];
-    (0..keys).map(|key| insist(callers.clone(), format!("key-{key}"))).collect()
+    (0..keys).map(|key| retry_until_settled(callers.clone(), format!("key-{key}"))).collect()
 }
 
 case!(many_callers_with_one_key, async {
@@ -65,9 +65,9 @@
 case!(replies_of_the_claims_lost, async {
     let fleet = Fleet::start(plan()).await;
     fleet.platform.set_faults(Faults { lose_write_replies: 5, ..Faults::default() });
-    join_all(insistent(&fleet, 10)).await;
+    join_all(retrying_callers(&fleet, 10)).await;
     assert_at_most_once(&fleet);
-    assert_eq!(executions_by_key(&fleet).len(), 10, "each ran once in the end");
+    assert_eq!(executions_by_key(&fleet).len(), 10, "each key ran exactly once");
 });
 
 case!(sidecars_killed_while_they_run, async {
@@ -75,10 +75,10 @@
     for service in &fleet.services {
         service.set_delay(Duration::from_millis(100));
     }
-    let calls = tokio::spawn(join_all(insistent(&fleet, 10)));
+    let calls = tokio::spawn(join_all(retrying_callers(&fleet, 10)));
     for round in 0..4 {
         let before = executions_by_key(&fleet).len();
-        let what = format!("more than {before} have run or all are through, round {round}");
+        let what = format!("more than {before} have run or all have ended, round {round}");
         wait_until(&what, || async {
             executions_by_key(&fleet).len() > before || calls.is_finished()
         })
@@ -95,7 +95,7 @@
     for service in &fleet.services {
         service.set_delay(Duration::from_millis(30));
     }
-    let calls = tokio::spawn(join_all(insistent(&fleet, 20)));
+    let calls = tokio::spawn(join_all(retrying_callers(&fleet, 20)));
     let mut round = 0;
     while !calls.is_finished() {
         fleet.hosts[round % 2].proxy.cut();
@@ -117,15 +117,15 @@
         service.set_delay(Duration::from_millis(300));
     }
     let callers = vec![fleet.caller(0), fleet.caller(1)];
-    let calls = tokio::spawn(insist(callers, "key-0".to_owned()));
+    let calls = tokio::spawn(retry_until_settled(callers, "key-0".to_owned()));
     wait_until("it runs", || async { !executions_by_key(&fleet).is_empty() }).await;
     fleet.entries[0].kill();
     calls.await.expect("the call ends");
     assert_at_most_once(&fleet);
 });
 
-// Woken after the caller was told "unknown", the sidecar finds the order in its
-// buffers. It may run it: once.
+// After the caller has got the outcome "unknown", the sidecar resumes and finds the dispatch in its
+// socket buffer. It may run it, but only once.
 case!(frozen_sidecar_woken_later, async {
     let fleet = Fleet::start(Plan { services: 1, ..plan() }).await;
     fleet.hosts[0].sidecar.freeze();
@@ -133,13 +133,13 @@
     assert_ne!(answer.expect("an answer").outcome, "completed");
     fleet.hosts[0].sidecar.wake();
     fleet.wait_until_active(1).await;
-    let outcome = insist(vec![fleet.caller(1)], "frozen".to_owned()).await;
+    let outcome = retry_until_settled(vec![fleet.caller(1)], "frozen".to_owned()).await;
     assert_ne!(outcome, "gave up");
     assert_at_most_once(&fleet);
 });
 
-// Nobody knows whether it ran: the key must stay taken, or the caller's next try would
-// run it again.
+// It is unknown whether the request ran, so its key must stay claimed. Otherwise a retry by the
+// caller could run it a second time.
 case!(unknown_keeps_its_claim, async {
     let mut fleet = Fleet::start(Plan { services: 1, ..plan() }).await;
     fleet.services[0].set_delay(Duration::from_secs(3));
@@ -160,7 +160,7 @@
 
 case!(platform_down_and_a_sidecar_killed, async {
     let mut fleet = Fleet::start(plan()).await;
-    let calls = tokio::spawn(join_all(insistent(&fleet, 5)));
+    let calls = tokio::spawn(join_all(retrying_callers(&fleet, 5)));
     fleet.platform.set_faults(Faults { outage: true, ..Faults::default() });
     fleet.hosts[0].sidecar.kill();
     fleet.restart_sidecar(0);
--- a/tests/all/promises/billing.rs
+++ b/tests/all/promises/billing.rs
@@ -17,7 +17,7 @@
 
 const REQUESTS: usize = 20;
 
-async fn serve(fleet: &Fleet, entry: usize) -> BTreeSet<String> {
+async fn send_requests(fleet: &Fleet, entry: usize) -> BTreeSet<String> {
     let mut completed = BTreeSet::new();
     for _ in 0..REQUESTS {
         let answer = send(fleet.caller(entry).chat("m", "x", 2, false)).await.expect("an answer");
@@ -27,7 +27,7 @@
     completed
 }
 
-/// The requests of the bill, as the product reads it, with how often each stands there.
+/// The number of bill lines of each request, as read by the ledger client.
 async fn bill(fleet: &Fleet) -> BTreeMap<String, usize> {
     let platform = PlatformClient::new(&fleet.platform.url(), Duration::from_secs(5));
     let lines = Ledger::new(platform).read(0, u64::MAX - 1).await.expect("the ledger is read");
@@ -50,30 +50,33 @@
     assert_eq!(&billed.into_keys().collect::<BTreeSet<_>>(), completed);
 }
 
-/// An entry that will not flush by itself within the test.
-fn slow_flush(entries: usize) -> Plan {
+/// A plan whose entries don't flush their records within the test.
+fn plan_without_flush(entries: usize) -> Plan {
     Plan { entries, entry_settings: vec![("bill", "flush_ms", 600_000.into())], ..Plan::default() }
 }
 
 case!(entry_killed_before_it_wrote, async {
-    let mut fleet = Fleet::start(slow_flush(1)).await;
-    let completed = serve(&fleet, 0).await;
+    let mut fleet = Fleet::start(plan_without_flush(1)).await;
+    let completed = send_requests(&fleet, 0).await;
     assert!(fleet.ledger_records().is_empty(), "nothing is written yet");
     fleet.entries[0].kill();
-    // The one that takes over flushes, and so brings what the sidecars hold.
+    // The restarted entry flushes, which includes the records that sidecars hold.
     fleet.set_entry(0, "bill", "flush_ms", 50.into());
     fleet.restart_entry(0);
     assert_billed_once_each(&fleet, &completed).await;
 });
 
 case!(entry_and_serving_sidecars_killed_together, async {
-    let mut fleet =
-        Fleet::start(Plan { engines: vec!["m@v1", "n@v1", "n@v1"], services: 0, ..slow_flush(1) })
-            .await;
-    let completed = serve(&fleet, 0).await;
+    let mut fleet = Fleet::start(Plan {
+        engines: vec!["m@v1", "n@v1", "n@v1"],
+        services: 0,
+        ..plan_without_flush(1)
+    })
+    .await;
+    let completed = send_requests(&fleet, 0).await;
     fleet.entries[0].kill();
     fleet.hosts[0].sidecar.kill();
-    // Only the neighbours in other zones have the records now.
+    // Only the sidecars in other availability zones have the records now.
     fleet.set_entry(0, "bill", "flush_ms", 50.into());
     fleet.restart_entry(0);
     assert_billed_once_each(&fleet, &completed).await;
@@ -85,7 +88,7 @@
         ..Plan::default()
     })
     .await;
-    let completed = serve(&fleet, 0).await;
+    let completed = send_requests(&fleet, 0).await;
     for host in &mut fleet.hosts {
         host.sidecar.kill();
     }
@@ -95,7 +98,7 @@
 case!(platform_down_while_serving, async {
     let fleet = Fleet::start(Plan::default()).await;
     fleet.platform.set_faults(Faults { outage: true, ..Faults::default() });
-    let completed = serve(&fleet, 0).await;
+    let completed = send_requests(&fleet, 0).await;
     assert!(fleet.ledger_records().is_empty());
     fleet.platform.set_faults(Faults::default());
     assert_billed_once_each(&fleet, &completed).await;
@@ -104,14 +107,14 @@
 case!(replies_of_the_ledger_lost, async {
     let fleet = Fleet::start(Plan::default()).await;
     fleet.platform.set_faults(Faults { lose_write_replies: 5, ..Faults::default() });
-    let completed = serve(&fleet, 0).await;
+    let completed = send_requests(&fleet, 0).await;
     wait_until("the replies are lost", || async { fleet.platform.replies_still_to_lose() == 0 })
         .await;
     assert_billed_once_each(&fleet, &completed).await;
 });
 
-// The same records reach the ledger by two ways: the frozen entry's own, and the
-// sidecars' through another entry.
+// The same records reach the ledger twice: from the suspended entry after it resumes, and from the
+// sidecars through another entry.
 case!(frozen_entry_writes_after_its_records_were_taken_over, async {
     let fleet = Fleet::start(Plan {
         entries: 2,
@@ -119,18 +122,18 @@
         ..Plan::default()
     })
     .await;
-    let completed = serve(&fleet, 0).await;
+    let completed = send_requests(&fleet, 0).await;
     fleet.entries[0].freeze();
     assert_billed_once_each(&fleet, &completed).await;
     fleet.entries[0].wake();
-    wait_until("the woken entry has settled all", || async {
+    wait_until("the resumed entry has settled all bills", || async {
         fleet.entry_state(0).await["unsettled_bills"] == 0
     })
     .await;
     assert_billed_once_each(&fleet, &completed).await;
 });
 
-// What did not come whole is not billed.
+// An incomplete response is not billed.
 case!(no_bill_without_a_whole_answer, async {
     let fleet = Fleet::start(Plan {
         switches: stallhoist_standins::engine::EngineSwitches {
@@ -144,6 +147,8 @@
     assert!(!broken.body.contains("[DONE]"));
     let completed = BTreeSet::new();
     assert_billed_once_each(&fleet, &completed).await;
-    wait_until("nothing is held", || async { fleet.entry_state(0).await["unsettled_bills"] == 0 })
-        .await;
+    wait_until("no bill is unsettled", || async {
+        fleet.entry_state(0).await["unsettled_bills"] == 0
+    })
+    .await;
 });
--- a/tests/all/promises/configuration.rs
+++ b/tests/all/promises/configuration.rs
@@ -1,4 +1,4 @@
-//! P10: an accepted configuration is in force everywhere within seconds and never reverts.
+//! P10: an accepted configuration is active everywhere within seconds and never reverts.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,8 +11,8 @@
 use crate::harness::edit_of;
 use crate::harness::wait_until;
 
-/// The bound of the users' first letter.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(4);
+/// The limit that the requirements set until an accepted edit is active everywhere.
+const ACTIVATION_LIMIT: Duration = Duration::from_secs(4);
 
 fn outage() -> Faults {
     Faults { outage: true, ..Faults::default() }
@@ -34,19 +34,19 @@
     assert_eq!((status, reply["status"].as_str()), (200, Some("accepted")), "{reply}");
     let accepted = Instant::now();
     fleet.wait_until_active(2).await;
-    assert!(accepted.elapsed() < IN_FORCE_WITHIN);
+    assert!(accepted.elapsed() < ACTIVATION_LIMIT);
     assert_eq!(weight(&fleet, 1).await, 7);
     let addr = fleet.entries[0].addr("operators_addr");
-    wait_until("the accepting entry knows that it is", || async {
+    wait_until("the accepting entry reports that no host lacks it", || async {
         let progress = fleet.operators(addr, "/v1/table/progress?revision=2").await;
         progress["missing"].as_array().is_some_and(Vec::is_empty)
     })
     .await;
 });
 
-// The worst moment: the platform goes down and the accepting entry dies at once.
+// The platform fails and the accepting entry crashes right after it has accepted the edit.
 case!(outage_and_kill_right_after_accepted, async {
-    // Only the mesh spreads it: the poll is out of the way.
+    // The poll interval exceeds the test, so that only the mesh distributes the edit.
     let mut fleet = Fleet::start(Plan {
         entry_settings: vec![("platform", "table_poll_ms", 60_000.into())],
         ..two_entries()
@@ -57,11 +57,11 @@
     fleet.platform.set_faults(outage());
     fleet.entries[0].kill();
     let accepted = Instant::now();
-    wait_until("the other entry has it", || async { weight(&fleet, 1).await == 7 }).await;
-    assert!(accepted.elapsed() < IN_FORCE_WITHIN);
+    wait_until("the other entry has the edit", || async { weight(&fleet, 1).await == 7 }).await;
+    assert!(accepted.elapsed() < ACTIVATION_LIMIT);
 });
 
-// All entries restart in an outage: their neighbours, the sidecars, have the table.
+// All entries restart while the platform is down and get the table from the sidecars.
 case!(all_entries_restart_in_an_outage, async {
     let mut fleet = Fleet::start(two_entries()).await;
     assert_eq!(fleet.edit(0, &edit_of(&[("w/m@v1/weight", "1", "7")])).await.0, 200);
@@ -81,28 +81,28 @@
     assert_eq!(answer.expect("an answer").outcome, "completed");
 });
 
-// Cut from the sidecars that are told, the others hear of it through the entries.
+// A sidecar that is disconnected during the edit gets it from the entries after it reconnects.
 case!(a_severed_sidecar_catches_up, async {
     let fleet = Fleet::start(two_entries()).await;
     fleet.hosts[0].proxy.sever();
     let (status, reply) = fleet.edit(0, &edit_of(&[("w/m@v1/weight", "1", "7")])).await;
     assert_eq!(status, 200, "{reply}");
     let missing = reply["progress"]["missing"].as_array().cloned().unwrap_or_default();
-    assert!(missing.contains(&"host-0".into()), "the missing is named: {reply}");
+    assert!(missing.contains(&"host-0".into()), "the host that lacks the edit is listed: {reply}");
     fleet.hosts[0].proxy.heal();
     let healed = Instant::now();
     fleet.wait_until_active(2).await;
-    assert!(healed.elapsed() < IN_FORCE_WITHIN);
+    assert!(healed.elapsed() < ACTIVATION_LIMIT);
 });
 
-// The write takes effect and its reply is lost: the edit is found, not made twice.
+// The write takes effect but its reply is lost. The edit must be found and not be applied twice.
 case!(reply_of_the_commit_lost, async {
     let fleet = Fleet::start(two_entries()).await;
     fleet.platform.set_faults(Faults { lose_write_replies: 1, ..Faults::default() });
     let edit = edit_of(&[("w/m@v1/weight", "1", "7")]);
     let (status, reply) = fleet.edit(0, &edit).await;
     assert_eq!((status, reply["revision"].as_u64()), (200, Some(2)), "{reply}");
-    // Asking again with the same edit id changes nothing.
+    // A repeated request with the same edit ID changes nothing.
     let (status, reply) = fleet.edit(1, &edit).await;
     assert_eq!((status, reply["revision"].as_u64()), (200, Some(2)), "{reply}");
 });
@@ -123,7 +123,7 @@
     let (a, b) = futures_util::future::join(fleet.edit(0, &seven), fleet.edit(1, &nine)).await;
     let mut statuses = [a.0, b.0];
     statuses.sort_unstable();
-    assert_eq!(statuses, [200, 409], "one is accepted, the other is told");
+    assert_eq!(statuses, [200, 409], "one edit is accepted, the other gets the conflict");
     let refused = if a.0 == 409 { a.1 } else { b.1 };
     let conflict = &refused["conflicts"][0];
     assert_eq!(conflict["expected"], "1");
@@ -143,7 +143,7 @@
     assert_eq!(table["rows"][0]["ramp_percent"], 50);
 });
 
-// An entry that was frozen over many edits must not spread its old table.
+// An entry that was suspended during several edits must not distribute its old table.
 case!(frozen_entry_does_not_bring_back_the_past, async {
     let fleet = Fleet::start(two_entries()).await;
     fleet.entries[1].freeze();
--- a/tests/all/promises/leaving.rs
+++ b/tests/all/promises/leaving.rs
@@ -12,17 +12,18 @@
 use crate::harness::send;
 use crate::harness::wait_until;
 
-/// Twenty at once, so that some would go to the leaving one if it were used at all.
-async fn twenty_at_once(fleet: &Fleet) {
+/// Sends twenty concurrent requests, enough that some would reach the leaving upstream if it were
+/// used.
+async fn send_twenty_concurrently(fleet: &Fleet) {
     let calls = (0..20).map(|_| send(fleet.caller(0).chat("m", "x", 4, false)));
     for answer in join_all(calls).await {
         assert_eq!(answer.expect("an answer").outcome, "completed");
     }
 }
 
-async fn all_go_elsewhere(fleet: &Fleet, leaving: usize) {
+async fn assert_host_avoided(fleet: &Fleet, leaving: usize) {
     let before = fleet.engines[leaving].executions().len();
-    twenty_at_once(fleet).await;
+    send_twenty_concurrently(fleet).await;
     assert_eq!(fleet.engines[leaving].executions().len(), before);
 }
 
@@ -35,13 +36,14 @@
     }
 }
 
-// It says so itself; running answers keep it up, new work goes elsewhere at once. Both
-// engines are busy, so that the leaving one would be chosen as often as the other.
+// The sidecar announces that it leaves. It completes its running requests, and new ones go to
+// another host at once. Both engines are busy, so that the leaving one would be chosen as often as
+// the other.
 case!(told_by_the_sidecar_with_the_platform_down, async {
     let fleet = Fleet::start(plan()).await;
     fleet.platform.set_faults(Faults { outage: true, ..Faults::default() });
-    // Both engines' step times are learnt first.
-    twenty_at_once(&fleet).await;
+    // The entry learns the step times of both engines first.
+    send_twenty_concurrently(&fleet).await;
     let long = || tokio::spawn(send(fleet.caller(0).chat("m", "long", 400, true)));
     let running: Vec<_> = (0..20).map(|_| long()).collect();
     wait_until("both engines are busy", || async {
@@ -55,7 +57,7 @@
     })
     .await;
     for _ in 0..3 {
-        all_go_elsewhere(&fleet, 0).await;
+        assert_host_avoided(&fleet, 0).await;
     }
     for call in running {
         let answer = call.await.expect("the call ends").expect("an answer");
@@ -63,17 +65,17 @@
     }
 });
 
-// Only the host list says so, and late.
+// Only the host list shows that the host leaves, and with a delay.
 case!(told_by_a_lagging_host_list, async {
     let mut fleet = Fleet::start(plan()).await;
     fleet.platform.set_faults(Faults { host_list_lag_ms: 300, ..Faults::default() });
     fleet.hosts[0].listed.state = HostState::Leaving;
     fleet.list_hosts();
-    wait_until("no request goes there any more", || async {
+    wait_until("the leaving host gets no more requests", || async {
         let before = fleet.engines[0].executions().len();
-        twenty_at_once(&fleet).await;
+        send_twenty_concurrently(&fleet).await;
         fleet.engines[0].executions().len() == before
     })
     .await;
-    all_go_elsewhere(&fleet, 0).await;
+    assert_host_avoided(&fleet, 0).await;
 });
--- a/tests/all/promises/mod.rs
+++ b/tests/all/promises/mod.rs
@@ -1,5 +1,5 @@
-//! The ten promises under failure. `docs/PROOFS.md` says which test stands for which
-//! promise and fault.
+//! Tests of the ten guarantees (P1 to P10) under failure. `docs/PROOFS.md` maps each guarantee and
+//! fault to its test.
 
 mod allowed;
 mod at_most_once;
--- a/tests/all/promises/not_run.rs
+++ b/tests/all/promises/not_run.rs
@@ -1,4 +1,4 @@
-//! P6: a refusal that says "not run" is true.
+//! P6: a request that is rejected with the outcome "not-run" has not run.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +15,7 @@
 use crate::harness::send;
 use crate::harness::wait_until;
 
-/// Requests that any engine or service has executed.
+/// The IDs of the requests that any engine or service has executed.
 fn executed(fleet: &Fleet) -> BTreeSet<String> {
     let engines = fleet.engines.iter().flat_map(|engine| engine.executions());
     let services = fleet.services.iter().flat_map(|service| service.executions());
@@ -26,16 +26,16 @@
 fn assert_not_run_is_true(fleet: &Fleet, answers: &[Answer]) {
     let executed = executed(fleet);
     for answer in answers.iter().filter(|answer| answer.outcome == "not-run") {
-        assert!(!executed.contains(&answer.request), "it ran: {answer:?}");
+        assert!(!executed.contains(&answer.request), "the request ran: {answer:?}");
     }
 }
 
-// The dispatch is on its way when the connection breaks, and arrives later or never.
+// The connection breaks while the dispatch is in transit, so that it arrives late or never.
 case!(dispatch_lost_in_a_cut_is_proved_not_run, async {
     let fleet = Fleet::start(Plan { engines: Vec::new(), ..Plan::default() }).await;
     fleet.hosts[0].proxy.hold(Direction::ToListener);
     let call = tokio::spawn(send(fleet.caller(0).call("ledger", "fund", "key", "x")));
-    wait_until("the entry has sent it", || async {
+    wait_until("the entry has sent the dispatch", || async {
         let state = fleet.entry_state(0).await;
         state["in_flight_requests"] == 1
     })
@@ -43,16 +43,17 @@
     fleet.hosts[0].proxy.cut();
     fleet.hosts[0].proxy.heal();
     let answer = call.await.expect("the call ends").expect("an answer");
-    // Proved not run, it is tried again and runs, or is refused truthfully.
+    // The sidecar confirms that the attempt has not run. The request is then retried and runs, or is
+    // rejected as not run.
     let executions = fleet.services[0].executions().len();
     match answer.outcome.as_str() {
         "completed" => assert_eq!(executions, 1),
         "not-run" => assert_eq!(executions, 0),
-        other => panic!("the sidecar was there to be asked, yet the outcome is {other}"),
+        other => panic!("the sidecar was reachable, but the outcome is {other}"),
     }
 });
 
-// A sidecar that restarted cannot say what the one before it did.
+// A restarted sidecar has no record of what its previous process ran.
 case!(restarted_sidecar_gives_unknown, async {
     let mut fleet = Fleet::start(Plan { engines: Vec::new(), ..Plan::default() }).await;
     fleet.services[0].set_delay(std::time::Duration::from_secs(3));
@@ -79,20 +80,23 @@
     assert!(fleet.services[0].executions().len() <= 2);
 });
 
-/// A fleet whose only engine is gone. Its port is kept from other tests, which run meanwhile and
-/// listen on any that is free: one of them answered in its place, with 401 or with an answer that
-/// was not understood.
+/// Starts a fleet whose only engine has stopped. The returned socket reserves the engine's port:
+/// otherwise a concurrent test could listen on it and respond in place of the engine, for example
+/// with 401 or with a response that cannot be parsed.
 async fn fleet_without_its_engine() -> (Fleet, TcpSocket) {
     loop {
         let plan = Plan { engines: vec!["m@v1"], services: 0, ..Plan::default() };
         let mut fleet = Fleet::start(plan).await;
         let engine = fleet.engines.remove(0);
         let url = engine.url();
-        let addr = url.trim_start_matches("http://").parse().expect("it listens on an address");
+        let addr = url
+            .trim_start_matches("http://")
+            .parse()
+            .expect("the engine's URL has a socket address");
         engine.stop().await;
-        // Bound, but not listening: connections are refused.
-        let held = TcpSocket::new_v4().expect("a socket can be made");
-        held.set_reuseaddr(true).expect("the option is known");
+        // The socket is bound but doesn't listen, so connections are refused.
+        let held = TcpSocket::new_v4().expect("a socket can be opened");
+        held.set_reuseaddr(true).expect("SO_REUSEADDR can be set");
         if held.bind(addr).is_ok() {
             return (fleet, held);
         }
@@ -100,7 +104,7 @@
 }
 
 case!(unreachable_upstream_is_not_run, async {
-    let (fleet, _held) = fleet_without_its_engine().await;
+    let (fleet, _reserved_port) = fleet_without_its_engine().await;
     let answer = send(fleet.caller(0).chat("m", "x", 2, false)).await.expect("an answer");
     assert_eq!((answer.status, answer.outcome.as_str()), (503, "not-run"));
     assert!(answer.retry_after.is_some());
@@ -114,12 +118,12 @@
     assert_eq!(answer.outcome, "not-run");
     assert!(answer.retry_after.is_some());
     assert!(fleet.services[0].executions().is_empty());
-    // What needs no claim goes on.
+    // Requests that need no claim are still served.
     let chat = send(fleet.caller(0).chat("m", "x", 2, false)).await.expect("an answer");
     assert_eq!(chat.outcome, "completed");
-    // And once the store is back the same key can be used.
+    // The same key can be used after the store has recovered.
     fleet.platform.set_faults(Faults::default());
-    wait_until("the key is free again", || async {
+    wait_until("the key can be claimed again", || async {
         let call = fleet.caller(0).call("ledger", "fund", "key", "x");
         send(call).await.is_some_and(|answer| answer.outcome == "completed")
     })
@@ -127,7 +131,7 @@
     assert_eq!(fleet.services[0].executions().len(), 1);
 });
 
-// Overload and cuts at once: every "not run" is checked against what executed.
+// Checks each "not-run" outcome against the executions, under overload and cut connections.
 case!(overload_with_cuts, async {
     let fleet = Fleet::start(Plan {
         engines: vec!["m@v1", "m@v1"],
@@ -148,7 +152,7 @@
         for round in 0..10 {
             wait_until("something runs", || async { !executed(&fleet).is_empty() }).await;
             fleet.hosts[round % 2].proxy.cut();
-            wait_until("the entry is back", || async {
+            wait_until("the entry has reconnected", || async {
                 let state = fleet.entry_state(0).await;
                 state["links"][round % 2]["is_connected"] == true
             })
@@ -157,7 +161,7 @@
     };
     let (answers, ()) = futures_util::future::join(join_all(calls), cuts).await;
     let answers: Vec<_> = answers.into_iter().flatten().collect();
-    assert_eq!(answers.len(), 60, "everybody is answered");
-    assert!(answers.iter().any(|answer| answer.outcome == "not-run"), "some are refused");
+    assert_eq!(answers.len(), 60, "every caller gets a response");
+    assert!(answers.iter().any(|answer| answer.outcome == "not-run"), "some requests are rejected");
     assert_not_run_is_true(&fleet, &answers);
 });
--- a/tests/all/promises/planned_stops.rs
+++ b/tests/all/promises/planned_stops.rs
@@ -22,21 +22,21 @@
     }
 }
 
-async fn all_running(fleet: &Fleet, count: usize) {
-    wait_until("all run", || async {
+async fn wait_until_all_run(fleet: &Fleet, count: usize) {
+    wait_until("all requests run", || async {
         let running = fleet.engines.iter().flat_map(|engine| engine.executions());
         running.filter(|execution| execution.tokens > 2).count() == count
     })
     .await;
 }
 
-/// Whole and streamed answers run while the entry is told to stop.
+/// Stops an entry while non-streaming and streamed responses are in progress.
 async fn entry_stops(faults: Faults) {
     let mut fleet = Fleet::start(plan()).await;
     let calls: Vec<_> = (0..6)
         .map(|n| tokio::spawn(send(fleet.caller(0).chat("m", "x", TOKENS, n % 2 == 0))))
         .collect();
-    all_running(&fleet, 6).await;
+    wait_until_all_run(&fleet, 6).await;
     fleet.platform.set_faults(faults);
     fleet.entries[0].terminate();
     for (number, call) in calls.into_iter().enumerate() {
@@ -49,11 +49,11 @@
     }
     fleet.platform.set_faults(Faults::default());
     let entry = std::sync::Mutex::new(&mut fleet.entries[0]);
-    wait_until("the entry has ended", || async {
+    wait_until("the entry has exited", || async {
         entry.lock().expect("nobody panicked").has_exited_cleanly() == Some(true)
     })
     .await;
-    wait_until("all are billed", || async { fleet.ledger_records().len() >= 6 }).await;
+    wait_until("all requests are billed", || async { fleet.ledger_records().len() >= 6 }).await;
 }
 
 case!(entry_stops_with_the_platform_up, entry_stops(Faults::default()));
@@ -62,7 +62,7 @@
     entry_stops(Faults { outage: true, ..Faults::default() })
 );
 
-// While the balancer has not learnt of it, a stopping entry still takes requests.
+// A stopping entry accepts requests until the load balancer has stopped sending them.
 case!(stopping_entry_serves_through_the_balancers_lag, async {
     let fleet = Fleet::start(Plan {
         entry_settings: vec![("timing", "stop_lag_ms", 1500.into())],
@@ -70,7 +70,7 @@
     })
     .await;
     fleet.entries[0].terminate();
-    wait_until("it says that it is leaving", || async {
+    wait_until("the entry reports that it is leaving", || async {
         fleet.entry_state(0).await["is_leaving"] == true
     })
     .await;
@@ -83,7 +83,7 @@
     let calls: Vec<_> = (0..6)
         .map(|n| tokio::spawn(send(fleet.caller(0).chat("m", "x", TOKENS, n % 2 == 0))))
         .collect();
-    all_running(&fleet, 6).await;
+    wait_until_all_run(&fleet, 6).await;
     fleet.hosts[0].sidecar.terminate();
     for call in calls {
         let answer = call.await.expect("the call ends").expect("an answer");
@@ -93,10 +93,10 @@
     assert_eq!(
         fleet.engines.iter().map(|e| e.executions().len()).sum::<usize>(),
         6,
-        "none ran twice"
+        "no request ran twice"
     );
     let sidecar = std::sync::Mutex::new(&mut fleet.hosts[0].sidecar);
-    wait_until("the sidecar has ended", || async {
+    wait_until("the sidecar has exited", || async {
         sidecar.lock().expect("nobody panicked").has_exited_cleanly() == Some(true)
     })
     .await;
--- a/tests/all/promises/sessions.rs
+++ b/tests/all/promises/sessions.rs
@@ -1,4 +1,4 @@
-//! P3: a session keeps the version it started on.
+//! P3: a session stays on the version on which it started.
 
 use crate::case::case;
 use crate::harness::Answer;
@@ -13,21 +13,21 @@
     Fleet::start(Plan { entries, engines, services: 0, ..Plan::default() }).await
 }
 
-/// Begins a session on version 1, whatever the weights say.
-async fn begin(caller: &Caller) -> Answer {
+/// Begins a session on version 1, regardless of the weights.
+async fn begin_session(caller: &Caller) -> Answer {
     let answer = send(caller.chat("m@v1", "begin", 2, false)).await.expect("an answer");
     assert_eq!(answer.target, "m@v1");
     answer
 }
 
-async fn go_on(caller: &Caller, session: &str) -> Answer {
+async fn continue_session(caller: &Caller, session: &str) -> Answer {
     let request = caller.chat("m", "go on", 2, false).header("Stallhoist-Session", session);
     send(request).await.expect("an answer")
 }
 
 case!(through_a_roll_out_on_any_entry, async {
     let mut fleet = two_versions(2).await;
-    let session = begin(&fleet.caller(0)).await.session.expect("a session");
+    let session = begin_session(&fleet.caller(0)).await.session.expect("a session");
     let roll_out = edit_of(&[
         ("w/m@v1/weight", "1", "0"),
         ("w/m@v1/state", "active", "draining"),
@@ -39,37 +39,38 @@
     fleet.restart_entry(0);
     fleet.wait_until_active(2).await;
     for entry in [0, 1, 0, 1] {
-        assert_eq!(go_on(&fleet.caller(entry), &session).await.target, "m@v1");
+        assert_eq!(continue_session(&fleet.caller(entry), &session).await.target, "m@v1");
         let new = send(fleet.caller(entry).chat("m", "new", 2, false)).await.expect("an answer");
-        assert_eq!(new.target, "m@v2", "new work goes to the new version");
+        assert_eq!(new.target, "m@v2", "new requests go to the new version");
     }
 });
 
-// A host of the version is gone: the session goes on with another of that version.
+// After the loss of its host, the session continues on another host of the same version.
 case!(through_the_loss_of_its_host, async {
     let mut fleet = two_versions(1).await;
-    let session = begin(&fleet.caller(0)).await.session.expect("a session");
+    let session = begin_session(&fleet.caller(0)).await.session.expect("a session");
     fleet.hosts[0].sidecar.kill();
     for _ in 0..4 {
-        let answer = go_on(&fleet.caller(0), &session).await;
+        let answer = continue_session(&fleet.caller(0), &session).await;
         assert_eq!((answer.outcome.as_str(), answer.target.as_str()), ("completed", "m@v1"));
     }
 });
 
-// P2 goes before P3: a withdrawn version serves no session either, and says so.
+// P2 takes precedence over P3: requests of a session on a withdrawn version are rejected as
+// "withdrawn".
 case!(ends_when_its_version_is_withdrawn, async {
     let fleet = two_versions(1).await;
-    let session = begin(&fleet.caller(0)).await.session.expect("a session");
+    let session = begin_session(&fleet.caller(0)).await.session.expect("a session");
     let withdraw = edit_of(&[("w/m@v1/state", "active", "withdrawn")]);
     assert_eq!(fleet.edit(0, &withdraw).await.0, 200);
-    let answer = go_on(&fleet.caller(0), &session).await;
+    let answer = continue_session(&fleet.caller(0), &session).await;
     assert_eq!((answer.outcome.as_str(), answer.code().as_str()), ("not-run", "withdrawn"));
 });
 
 async fn refused(change: impl Fn(&str) -> String) {
     let fleet = two_versions(1).await;
-    let session = begin(&fleet.caller(0)).await.session.expect("a session");
-    let answer = go_on(&fleet.caller(0), &change(&session)).await;
+    let session = begin_session(&fleet.caller(0)).await.session.expect("a session");
+    let answer = continue_session(&fleet.caller(0), &change(&session)).await;
     assert_eq!((answer.status, answer.code().as_str()), (400, "bad-header"));
 }
 
--- a/tests/all/promises/whole_answers.rs
+++ b/tests/all/promises/whole_answers.rs
@@ -1,4 +1,4 @@
-//! P5: a caller receives the whole answer to its own request.
+//! P5: a caller receives the complete response to its own request.
 
 use futures_util::future::join_all;
 use stallhoist_standins::Direction;
@@ -13,7 +13,7 @@
 
 const TOKENS: u64 = 100;
 
-/// One engine whose answers take half a second.
+/// A plan with one engine, whose responses take half a second.
 fn slow_plan() -> Plan {
     Plan {
         engines: vec!["m@v1"],
@@ -28,16 +28,16 @@
     format!("[m@v1] {prompt} {}", words.join(" "))
 }
 
-async fn half_way(fleet: &Fleet) {
-    wait_until("the answer is half way", || async {
+async fn wait_until_half_done(fleet: &Fleet) {
+    wait_until("the engine has produced half of the response", || async {
         fleet.engines[0].executions().iter().any(|e| e.tokens as u64 > TOKENS / 2)
     })
     .await;
 }
 
-fn assert_plainly_broken(answer: &Answer) {
+fn assert_marked_incomplete(answer: &Answer) {
     assert!(!answer.body.contains("[DONE]"), "a part must not pass as the whole");
-    assert!(answer.body.contains("\"error\""), "the caller is told: {}", answer.body);
+    assert!(answer.body.contains("\"error\""), "the response contains an error: {}", answer.body);
 }
 
 case!(everybody_gets_their_own, async {
@@ -55,26 +55,27 @@
     join_all(calls).await;
 });
 
-/// The connection breaks mid-answer: the answer goes on where it stopped.
+/// The connection breaks during the response, which must resume where it stopped.
 async fn cut_and_resume(is_streamed: bool) {
     let fleet = Fleet::start(slow_plan()).await;
     let call = tokio::spawn(send(fleet.caller(0).chat("m", "x", TOKENS, is_streamed)));
-    half_way(&fleet).await;
+    wait_until_half_done(&fleet).await;
     fleet.hosts[0].proxy.cut();
     let answer = call.await.expect("the call ends").expect("an answer");
     let text = if is_streamed { answer.streamed_text() } else { answer.text() };
     assert_eq!(text, expected("x"));
-    assert_eq!(fleet.engines[0].executions().len(), 1, "it was not run again");
+    assert_eq!(fleet.engines[0].executions().len(), 1, "the request ran only once");
 }
 
 case!(cut_mid_stream_is_resumed, cut_and_resume(true));
 case!(cut_before_a_whole_answer_is_resumed, cut_and_resume(false));
 
-/// One direction stops without an end: silence is noticed, and the answer resumed.
+/// One direction of the connection stops delivering without being closed. The entry must detect the
+/// silence and resume the response.
 async fn silence_and_resume(direction: Direction) {
     let fleet = Fleet::start(slow_plan()).await;
     let call = tokio::spawn(send(fleet.caller(0).chat("m", "x", TOKENS, true)));
-    half_way(&fleet).await;
+    wait_until_half_done(&fleet).await;
     fleet.hosts[0].proxy.hold(direction);
     wait_until("the entry notices", || async {
         fleet.entry_state(0).await["links"][0]["is_connected"] == false
@@ -93,10 +94,10 @@
 case!(sidecar_killed_mid_stream_is_told, async {
     let mut fleet = Fleet::start(slow_plan()).await;
     let call = tokio::spawn(send(fleet.caller(0).chat("m", "x", TOKENS, true)));
-    half_way(&fleet).await;
+    wait_until_half_done(&fleet).await;
     fleet.hosts[0].sidecar.kill();
     let answer = call.await.expect("the call ends").expect("an answer");
-    assert_plainly_broken(&answer);
+    assert_marked_incomplete(&answer);
 });
 
 case!(sidecar_killed_before_a_whole_answer_is_run_elsewhere, async {
@@ -116,7 +117,7 @@
 case!(frozen_sidecar_goes_on_after_it_wakes, async {
     let fleet = Fleet::start(slow_plan()).await;
     let call = tokio::spawn(send(fleet.caller(0).chat("m", "x", TOKENS, true)));
-    half_way(&fleet).await;
+    wait_until_half_done(&fleet).await;
     fleet.hosts[0].sidecar.freeze();
     wait_until("the entry notices", || async {
         fleet.entry_state(0).await["links"][0]["is_connected"] == false
@@ -127,8 +128,8 @@
     assert_eq!(answer.streamed_text(), expected("x"));
 });
 
-/// The engine breaks off without its end mark.
-async fn engine_breaks_off(is_streamed: bool) {
+/// The engine ends its response without the end marker.
+async fn engine_truncates_response(is_streamed: bool) {
     let plan = Plan {
         switches: EngineSwitches { truncate_after_tokens: 3, ..EngineSwitches::default() },
         ..slow_plan()
@@ -136,20 +137,20 @@
     let fleet = Fleet::start(plan).await;
     let call = fleet.caller(0).chat("m", "x", TOKENS, is_streamed);
     let answer = send(call).await.expect("an answer");
-    assert_plainly_broken(&answer);
+    assert_marked_incomplete(&answer);
     if !is_streamed {
         assert_eq!((answer.status, answer.outcome.as_str()), (502, "failed"));
     }
 }
 
-case!(engine_breaks_off_mid_stream, engine_breaks_off(true));
-case!(engine_fails_a_whole_answer, engine_breaks_off(false));
+case!(engine_breaks_off_mid_stream, engine_truncates_response(true));
+case!(engine_fails_a_whole_answer, engine_truncates_response(false));
 
-// Entry killed mid-stream: the caller's connection breaks, without an end mark.
+// When an entry crashes during a stream, the caller's connection breaks without an end marker.
 case!(entry_killed_mid_stream_shows_as_broken, async {
     let mut fleet = Fleet::start(slow_plan()).await;
     let call = tokio::spawn(send(fleet.caller(0).chat("m", "x", TOKENS, true)));
-    half_way(&fleet).await;
+    wait_until_half_done(&fleet).await;
     fleet.entries[0].kill();
     let answer = call.await.expect("the call ends");
     assert!(answer.is_none_or(|answer| !answer.body.contains("[DONE]")));
--- a/tests/all/promises/withdrawn.rs
+++ b/tests/all/promises/withdrawn.rs
@@ -1,4 +1,4 @@
-//! P2: a withdrawn version receives no new work.
+//! P2: a withdrawn version receives no new requests.
 
 use stallhoist_standins::engine::EngineSwitches;
 use stallhoist_standins::platform::Faults;
@@ -24,7 +24,7 @@
     assert!(fleet.engines.iter().all(|engine| engine.executions().is_empty()));
 });
 
-// What waits in a queue when the version is withdrawn is new work too.
+// A request that is queued when its version is withdrawn counts as a new request.
 case!(queued_work_is_refused_when_its_turn_comes, async {
     let fleet = Fleet::start(Plan {
         engines: vec!["m@v1"],
@@ -35,9 +35,10 @@
     })
     .await;
     let first = tokio::spawn(send(fleet.caller(0).chat("m", "first", 40, false)));
-    wait_until("the first runs", || async { fleet.engines[0].executions().len() == 1 }).await;
+    wait_until("the first request runs", || async { fleet.engines[0].executions().len() == 1 })
+        .await;
     let second = tokio::spawn(send(fleet.caller(0).chat("m", "second", 2, false)));
-    wait_until("the second waits", || async {
+    wait_until("the second request is queued", || async {
         fleet.sidecar_state(0).await["queue_len_requests"] == 1
     })
     .await;
@@ -45,13 +46,13 @@
     let (status, reply) = fleet.edit(0, &withdraw).await;
     assert!(status == 200 || status == 202, "{reply}");
     let first = first.await.expect("the call ends").expect("an answer");
-    assert_eq!(first.outcome, "completed", "work in progress is not cut off");
+    assert_eq!(first.outcome, "completed", "a request in progress is not cut");
     let second = second.await.expect("the call ends").expect("an answer");
     assert_eq!(second.outcome, "not-run", "{second:?}");
     assert_eq!(fleet.engines[0].executions().len(), 1);
 });
 
-// The platform goes down at the moment the edit is accepted.
+// The platform fails right after the edit is accepted.
 case!(holds_through_an_outage_and_a_sidecars_restart, async {
     let mut fleet = Fleet::start(Plan { entries: 2, ..Plan::default() }).await;
     let withdraw = edit_of(&[("w/m@v1/state", "active", "withdrawn")]);
