--- a/tests/all/soak/caller.rs
+++ b/tests/all/soak/caller.rs
@@ -32,7 +32,7 @@
 
 /// The kinds of requests: calls and streams, repeatable or run at most once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Kind {
+pub(super) enum RequestKind {
     Safe,
     Once,
     Stream,
@@ -43,7 +43,7 @@
     Fatal,
 }
 
-impl Kind {
+impl RequestKind {
     /// The kinds that callers choose from at random.
     pub(super) const ALL: [Self; 5] =
         [Self::Safe, Self::Once, Self::Stream, Self::OnceStream, Self::Fragile];
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct RequestRecord {
     pub(super) id: String,
-    pub(super) kind: Kind,
+    pub(super) kind: RequestKind,
     /// The number of the gateway, and the generation of the process that got the request.
     pub(super) gateway: usize,
     pub(super) generation: u64,
@@ -90,11 +90,12 @@
 pub(super) async fn send_request(
     http: &reqwest::Client,
     gateway: &GatewayStatus,
-    kind: Kind,
+    kind: RequestKind,
     key: &str,
     id: String,
 ) -> RequestRecord {
-    let body = if kind == Kind::Fragile { format!("prompt {id}") } else { "a prompt".to_owned() };
+    let body =
+        if kind == RequestKind::Fragile { format!("prompt {id}") } else { "a prompt".to_owned() };
     send_with_body(http, gateway, kind, key, id, body).await
 }
 
@@ -102,7 +103,7 @@
 pub(super) async fn send_with_body(
     http: &reqwest::Client,
     gateway: &GatewayStatus,
-    kind: Kind,
+    kind: RequestKind,
     key: &str,
     id: String,
     body: String,
@@ -128,7 +129,7 @@
 fn request(
     http: &reqwest::Client,
     addrs: &Addrs,
-    kind: Kind,
+    kind: RequestKind,
     key: &str,
     id: &str,
 ) -> RequestBuilder {
@@ -144,7 +145,7 @@
         return request;
     }
     request
-        .header("Model", if kind == Kind::OnceStream { "small" } else { "*" })
+        .header("Model", if kind == RequestKind::OnceStream { "small" } else { "*" })
         .header("Token-Usage", "100,20")
         .header("Prompt-Prefix", "a1:60,b2:40")
 }
@@ -163,7 +164,7 @@
     while !stop.load(Ordering::SeqCst) {
         ticks.tick().await;
         let gateway = choose(&mut rng, &gateways);
-        let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len())];
+        let kind = RequestKind::ALL[rng.random_range(0..RequestKind::ALL.len())];
         let id = format!("{name}-{}", records.len());
         records.push(send_request(&http, gateway, kind, KEY, id).await);
     }
--- a/tests/all/soak/fragile.rs
+++ b/tests/all/soak/fragile.rs
@@ -12,7 +12,7 @@
 use stallhoist_standins::users_platform::UpstreamStandin;
 
 use super::caller;
-use super::caller::Kind;
+use super::caller::RequestKind;
 use super::caller::RequestRecord;
 use super::fleet::Fleet;
 use super::gateway_status::GatewayStatus;
@@ -81,7 +81,8 @@
         let gateway = &gateways[(number + n) % gateways.len()];
         let body = format!("{FATAL} {number}");
         let id = format!("fatal-{number}-{n}");
-        records.push(caller::send_with_body(&http, gateway, Kind::Fatal, KEY, id, body).await);
+        records
+            .push(caller::send_with_body(&http, gateway, RequestKind::Fatal, KEY, id, body).await);
     }
     records
 }
--- a/tests/all/soak/invariants.rs
+++ b/tests/all/soak/invariants.rs
@@ -9,7 +9,7 @@
 use stallhoist_standins::users_platform::UpstreamStandin;
 
 use super::caller::DEADLINE;
-use super::caller::Kind;
+use super::caller::RequestKind;
 use super::caller::RequestRecord;
 use super::fleet::Fleet;
 use super::upstream::EVENTS;
@@ -72,13 +72,13 @@
 fn seen(fleet: &Fleet) -> HashMap<String, Observations> {
     let mut seen: HashMap<String, Observations> = HashMap::new();
     for upstream in fleet.upstreams.lock().iter() {
-        record_arrivals(&upstream.standin, &mut seen);
+        count_arrivals(&upstream.standin, &mut seen);
     }
-    fleet.fragile.iter().for_each(|upstream| record_arrivals(upstream, &mut seen));
+    fleet.fragile.iter().for_each(|upstream| count_arrivals(upstream, &mut seen));
     seen
 }
 
-fn record_arrivals(upstream: &UpstreamStandin, seen: &mut HashMap<String, Observations>) {
+fn count_arrivals(upstream: &UpstreamStandin, seen: &mut HashMap<String, Observations>) {
     for arrival in upstream.arrivals() {
         let of_request = seen.entry(arrival.header("request-id").to_owned()).or_default();
         of_request.arrivals += 1;
@@ -89,7 +89,7 @@
 /// The requests that crash no upstream but were rejected as quarantined.
 pub(super) fn held_back(requests: &[RequestRecord]) -> impl Iterator<Item = &RequestRecord> {
     let is_held_back = |answer: &Answer| answer.status == 503 && answer.body.contains(HELD_BACK);
-    let others = requests.iter().filter(|request| request.kind != Kind::Fatal);
+    let others = requests.iter().filter(|request| request.kind != RequestKind::Fatal);
     others.filter(move |request| request.answer.as_ref().is_some_and(is_held_back))
 }
 
@@ -149,7 +149,7 @@
     seen: &Observations,
     violated: &mut Vec<&str>,
 ) {
-    let is_call = matches!(request.kind, Kind::Safe | Kind::Once);
+    let is_call = matches!(request.kind, RequestKind::Safe | RequestKind::Once);
     if is_call && seen.arrivals > 0 && !was_gateway_faulty(fleet, request) {
         violated.push("forwarded to an upstream, but the connection was closed without a response");
     }
--- a/tests/all/soak/mod.rs
+++ b/tests/all/soak/mod.rs
@@ -39,7 +39,7 @@
 use tokio::time::Instant;
 use tokio::time::sleep_until;
 
-use self::caller::Kind;
+use self::caller::RequestKind;
 use self::caller::RequestRecord;
 use self::fleet::Fleet;
 use self::gateway_status::GatewayStatus;
@@ -143,7 +143,7 @@
     let http = caller::client();
     let mut requests = Vec::new();
     for gateway in &fleet.gateways {
-        for kind in Kind::ALL {
+        for kind in RequestKind::ALL {
             let id = format!("s{seed}-end-{}", requests.len());
             let request = caller::send_request(&http, gateway, kind, KEY, id).await;
             if served(std::slice::from_ref(&request)) == 0 {
@@ -153,7 +153,8 @@
         }
         for key in &fleet.config.withdrawn_keys {
             let request =
-                caller::send_request(&http, gateway, Kind::Safe, key, "withdrawn".into()).await;
+                caller::send_request(&http, gateway, RequestKind::Safe, key, "withdrawn".into())
+                    .await;
             let status = request.answer.map(|answer| answer.status);
             if status != Some(401) {
                 violations
@@ -168,7 +169,7 @@
 /// without responses.
 fn check_service(requests: &[RequestRecord], violations: &Violations) {
     let served = served(requests);
-    let others = requests.iter().filter(|request| request.kind != Kind::Fatal).count();
+    let others = requests.iter().filter(|request| request.kind != RequestKind::Fatal).count();
     if served * 4 < others {
         violations.add(format!("only {served} of {others} were served"));
     }
--- a/tests/all/soak/plan.rs
+++ b/tests/all/soak/plan.rs
@@ -183,9 +183,9 @@
 impl Plan {
     /// Draws the faults of a seed, which begin within `duration`.
     pub(super) fn new(seed: u64, duration: Duration, gateways: usize) -> Self {
-        let draw = |rng: &mut StdRng| draw(rng, gateways);
+        let draw_fault = |rng: &mut StdRng| draw_fault(rng, gateways);
         let draw_transfer = |rng: &mut StdRng| draw_transfer(rng, gateways);
-        let mut faults = draw_all(seed, FAULT_EVERY_MS, duration, draw);
+        let mut faults = draw_all(seed, FAULT_EVERY_MS, duration, draw_fault);
         // Each group has its own generator, so that a new group leaves the other faults of a seed
         // unchanged.
         let transfers = seed ^ TRANSFERS_SEED;
@@ -271,7 +271,7 @@
     Fault::SelfReport { upstream, report, duration }
 }
 
-fn draw(rng: &mut StdRng, gateways: usize) -> Fault {
+fn draw_fault(rng: &mut StdRng, gateways: usize) -> Fault {
     let gateway = rng.random_range(0..gateways);
     let upstream = rng.random_range(0..2 * UPSTREAMS);
     let duration = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
--- a/tests/all/soak/zones.rs
+++ b/tests/all/soak/zones.rs
@@ -139,8 +139,9 @@
     let Some(from) = arrival.at.checked_sub(PROPAGATION_TIME) else {
         return false;
     };
-    let of_others = fleet.store_link_faults.iter().filter(|(of, _)| *of != gateway);
-    let of_others = of_others.filter(|(_, period)| period.overlaps(from, arrival.at)).count();
+    let other_link_faults = fleet.store_link_faults.iter().filter(|(of, _)| *of != gateway);
+    let other_link_faults =
+        other_link_faults.filter(|(_, period)| period.overlaps(from, arrival.at)).count();
     let all = fleet.store_faults.iter().filter(|period| period.overlaps(from, arrival.at)).count();
-    all == of_others && !fleet.gateways[gateway].was_faulty(from, arrival.at)
+    all == other_link_faults && !fleet.gateways[gateway].was_faulty(from, arrival.at)
 }
