--- a/src/bin/stallhoist-entry.rs
+++ b/src/bin/stallhoist-entry.rs
@@ -1,4 +1,4 @@
-//! The entry's daemon.
+//! Entry daemon.
 
 use std::error::Error;
 use std::process::ExitCode;
--- a/src/bin/stallhoist-gateway.rs
+++ b/src/bin/stallhoist-gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway's daemon, on the users' platform.
+//! Gateway daemon for the users' platform.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -17,7 +17,7 @@
 const NAME: &str = "stallhoist-gateway";
 const ABOUT: &str = "The process on an entry host of the users' platform: serves callers";
 
-/// One thread is enough for an entry's share of a core, and takes less memory.
+/// Runs on one thread, which is enough for a gateway's share of a core and takes less memory.
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
     end(NAME, run().await)
--- a/src/bin/stallhoist-sidecar.rs
+++ b/src/bin/stallhoist-sidecar.rs
@@ -1,4 +1,4 @@
-//! The sidecar's daemon.
+//! Sidecar daemon.
 
 use std::error::Error;
 use std::process::ExitCode;
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The commands and their arguments.
+//! Definition of the commands and their arguments.
 
 use std::path::PathBuf;
 
@@ -8,7 +8,7 @@
 use clap::value_parser;
 use clap_complete::Shell;
 
-/// The whole command line.
+/// Builds the root command with all subcommands.
 pub(crate) fn command() -> Command {
     Command::new("stallhoist")
         .about("Operates stallhoist, a model-aware router for model versions and cascades")
@@ -196,7 +196,7 @@
         .arg(Arg::new("shell").required(true).value_parser(value_parser!(Shell)))
 }
 
-/// Adds where the operators' endpoint is and the key it asks for.
+/// Adds the arguments for the URL of an operators' endpoint and the key that it requires.
 fn with_endpoint(command: Command) -> Command {
     command
         .arg(
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `stallhoist explain`: what the log says of one request.
+//! `stallhoist explain`: prints the log lines that concern one request.
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -12,16 +12,17 @@
 use serde_json::Map;
 use serde_json::Value;
 
-use super::say;
+use super::print_stdout;
 use crate::error::CliError;
 
-/// Lines on what the process believed that are shown from before the request.
-const LINES_BEFORE: usize = 5;
+/// Lines without a request that are printed from before the request's first line. They show the state that
+/// the process had cached by then.
+const MAX_PRECEDING_LINES: usize = 5;
 
-/// The key under which a line names its request.
+/// Key of the structured field that holds the request's ID.
 const REQUEST_KEY: &str = "request";
 
-/// A line of a process's log.
+/// One line of a process's log, in JSON.
 #[derive(Debug, Deserialize)]
 struct LogLine {
     timestamp: String,
@@ -32,7 +33,7 @@
 }
 
 impl LogLine {
-    /// Reads a line; what stands before the JSON, as collectors put it there, is passed over.
+    /// Parses a line and skips any prefix before the JSON, such as log collectors add.
     fn parse(text: &str) -> Option<Self> {
         serde_json::from_str(&text[text.find('{')?..]).ok()
     }
@@ -41,7 +42,7 @@
         self.kvs.get(REQUEST_KEY)?.as_str()
     }
 
-    fn shown(&self) -> String {
+    fn format_line(&self) -> String {
         let value = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
         let fields = self.kvs.iter().filter(|(key, _)| *key != REQUEST_KEY);
         let fields: Vec<_> = fields.map(|(key, v)| format!("{key}={}", value(v))).collect();
@@ -49,7 +50,7 @@
     }
 }
 
-/// Shows the lines of a request, and what the process believed before and meanwhile.
+/// Prints the lines of a request, and lines on the process's state from shortly before and during it.
 pub(super) fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let id = matches.get_one::<String>("id").map_or("", String::as_str);
     let lines: Box<dyn BufRead> = match matches.get_one::<PathBuf>("file") {
@@ -64,32 +65,32 @@
         return Err(CliError::NotInLog(id.to_owned()));
     }
     for line in found {
-        say(format_args!("{line}"));
+        print_stdout(format_args!("{line}"));
     }
     Ok(())
 }
 
-/// The lines that concern a request, as they are shown.
+/// Selects and formats the lines that concern a request.
 fn explain(id: &str, lines: impl Iterator<Item = String>) -> Vec<String> {
     let mut before = VecDeque::new();
     let mut found: Vec<String> = Vec::new();
-    // Lines of state since the request's last line: shown only if another one follows.
-    let mut since = Vec::new();
+    // State lines since the request's last line, printed only if another line of the request follows.
+    let mut lines_since_last = Vec::new();
     for line in lines.filter_map(|line| LogLine::parse(&line)) {
         match line.request() {
             Some(request) if request == id => {
                 found.extend(before.drain(..));
-                found.append(&mut since);
-                found.push(line.shown());
+                found.append(&mut lines_since_last);
+                found.push(line.format_line());
             }
             Some(_) => {}
             None if found.is_empty() => {
-                before.push_back(line.shown());
-                if before.len() > LINES_BEFORE {
+                before.push_back(line.format_line());
+                if before.len() > MAX_PRECEDING_LINES {
                     before.pop_front();
                 }
             }
-            None => since.push(line.shown()),
+            None => lines_since_last.push(line.format_line()),
         }
     }
     found
--- a/src/commands/hold.rs
+++ b/src/commands/hold.rs
@@ -1,4 +1,4 @@
-//! `stallhoist hold`.
+//! `stallhoist hold`: lists the versions that the guard holds and releases them.
 
 use clap::ArgMatches;
 use stallhoist_core::EditId;
@@ -8,12 +8,12 @@
 use stallhoist_table::Column;
 use stallhoist_table::Edit;
 
-use crate::commands::say;
+use crate::commands::print_stdout;
 use crate::commands::table;
 use crate::error::CliError;
 use crate::operator_client::OperatorClient;
 
-/// Runs the subcommand that the arguments name.
+/// Runs the selected subcommand.
 pub(crate) async fn run(matches: &ArgMatches) -> Result<(), CliError> {
     match matches.subcommand() {
         Some(("list", matches)) => list(matches).await,
@@ -24,20 +24,20 @@
 
 async fn list(matches: &ArgMatches) -> Result<(), CliError> {
     let found = OperatorClient::from_matches(matches)?.holds().await?;
-    say(format_args!("version,cause,answers,failures,ratings,poor_ratings\n"));
+    print_stdout(format_args!("version,cause,answers,failures,ratings,poor_ratings\n"));
     for hold in found.holds {
-        say(format_args!(
+        print_stdout(format_args!(
             "{},{},{},{},{},{}\n",
             hold.version, hold.cause, hold.answers, hold.failures, hold.ratings, hold.poor_ratings
         ));
     }
     for (host, version) in found.sick_upstreams {
-        say(format_args!("sick upstream: {host} with {version}\n"));
+        print_stdout(format_args!("sick upstream: {host} with {version}\n"));
     }
     Ok(())
 }
 
-/// Raises the count of clearings in each row of the version; no other cell is touched.
+/// Increments `guard_resets` in each row of the version and changes no other cell.
 async fn clear(matches: &ArgMatches) -> Result<(), CliError> {
     let client = OperatorClient::from_matches(matches)?;
     let name = matches.get_one::<String>("version").cloned().unwrap_or_default();
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What the commands do.
+//! Implementation of the commands.
 
 mod bill;
 mod explain;
@@ -20,12 +20,12 @@
 use crate::local;
 use crate::operator_client::OperatorClient;
 
-/// Writes to standard output. A reader that has gone away, as `head` does, is no error.
-pub(crate) fn say(text: std::fmt::Arguments<'_>) {
+/// Writes to standard output. Errors are ignored, as a reader such as `head` may close the pipe early.
+pub(crate) fn print_stdout(text: std::fmt::Arguments<'_>) {
     let _ = std::io::stdout().write_fmt(text);
 }
 
-/// Runs the command that the arguments name.
+/// Runs the selected command.
 pub(crate) async fn run(matches: &ArgMatches) -> Result<ExitCode, CliError> {
     match matches.subcommand() {
         Some(("local", matches)) => local::run(matches).await?,
@@ -43,7 +43,7 @@
 
 async fn dump(matches: &ArgMatches) -> Result<(), CliError> {
     let state = OperatorClient::from_matches(matches)?.state().await?;
-    say(format_args!("{state:#}\n"));
+    print_stdout(format_args!("{state:#}\n"));
     Ok(())
 }
 
@@ -54,7 +54,7 @@
         Some("gateway") => stallhoist_settings::load::<GatewaySettings>(&path).map(|_| ())?,
         _ => stallhoist_settings::load::<SidecarSettings>(&path).map(|_| ())?,
     }
-    say(format_args!("{}: all settings are right\n", path.display()));
+    print_stdout(format_args!("{}: all settings are right\n", path.display()));
     Ok(())
 }
 
--- a/src/commands/table.rs
+++ b/src/commands/table.rs
@@ -1,4 +1,4 @@
-//! `stallhoist table`.
+//! `stallhoist table`: prints, edits, imports and exports the operators' table.
 
 use std::fs;
 use std::path::PathBuf;
@@ -16,15 +16,15 @@
 use stallhoist_table::changes_from_csv;
 use stallhoist_table::to_csv;
 
-use crate::commands::say;
+use crate::commands::print_stdout;
 use crate::error::CliError;
 use crate::operator_client::OperatorClient;
 
-const PROGRESS_PATIENCE: Duration = Duration::from_secs(10);
-const PROGRESS_EVERY: Duration = Duration::from_millis(100);
-const WATCH_EVERY: Duration = Duration::from_millis(500);
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(10);
+const PROGRESS_POLL_INTERVAL: Duration = Duration::from_millis(100);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Runs the subcommand that the arguments name.
+/// Runs the selected subcommand.
 pub(crate) async fn run(matches: &ArgMatches) -> Result<(), CliError> {
     match matches.subcommand() {
         Some(("show", matches)) => show(matches).await,
@@ -39,7 +39,7 @@
 
 async fn show(matches: &ArgMatches) -> Result<(), CliError> {
     let table = OperatorClient::from_matches(matches)?.table().await?;
-    say(format_args!("{}", to_csv(&table)?));
+    print_stdout(format_args!("{}", to_csv(&table)?));
     Ok(())
 }
 
@@ -47,7 +47,7 @@
     let table = OperatorClient::from_matches(matches)?.table().await?;
     let path = file(matches);
     fs::write(&path, to_csv(&table)?).map_err(|cause| file_error(&path, cause))?;
-    say(format_args!("revision {} written to {}\n", table.revision, path.display()));
+    print_stdout(format_args!("revision {} written to {}\n", table.revision, path.display()));
     Ok(())
 }
 
@@ -71,33 +71,34 @@
     let table: Table = client.table().await?;
     let cells = changes_from_csv(&table, &sheet)?;
     if cells.is_empty() {
-        say(format_args!("the table already holds all of {}\n", path.display()));
+        print_stdout(format_args!("the table already holds all of {}\n", path.display()));
         return Ok(());
     }
     let edit = Edit { id: EditId::generate(), author: author(matches), cells };
     commit(&client, &edit).await
 }
 
-/// Commits an edit and shows how far it is until it is in force everywhere.
+/// Commits an edit and waits until it is active on every host, at most [`PROGRESS_TIMEOUT`]. Then prints the
+/// number of hosts where it is active and the hosts where it isn't.
 pub(super) async fn commit(client: &OperatorClient, edit: &Edit) -> Result<(), CliError> {
-    say(format_args!("edit {} changes {} cells\n", edit.id, edit.cells.len()));
+    print_stdout(format_args!("edit {} changes {} cells\n", edit.id, edit.cells.len()));
     let reply = client.edit(edit).await?;
-    say(format_args!("{}: revision {}\n", reply.status, reply.revision));
+    print_stdout(format_args!("{}: revision {}\n", reply.status, reply.revision));
     let began = Instant::now();
     loop {
         let progress = client.progress(reply.revision).await?;
         let is_done = progress.missing.is_empty();
-        if is_done || began.elapsed() > PROGRESS_PATIENCE {
-            say(format_args!(
+        if is_done || began.elapsed() > PROGRESS_TIMEOUT {
+            print_stdout(format_args!(
                 "in force: {} of {} hosts\n",
                 progress.in_force_hosts, progress.hosts
             ));
             for host in progress.missing {
-                say(format_args!("  missing: {host}\n"));
+                print_stdout(format_args!("  missing: {host}\n"));
             }
             return Ok(());
         }
-        tokio::time::sleep(PROGRESS_EVERY).await;
+        tokio::time::sleep(PROGRESS_POLL_INTERVAL).await;
     }
 }
 
@@ -112,11 +113,11 @@
     let mut seen = client.table().await?.revision;
     loop {
         seen = print_entries(&client, seen).await?;
-        tokio::time::sleep(WATCH_EVERY).await;
+        tokio::time::sleep(WATCH_POLL_INTERVAL).await;
     }
 }
 
-/// Prints all edits after a revision and gives the last one's.
+/// Prints all edits after a revision and returns the last printed revision, or `after` if there was none.
 async fn print_entries(client: &OperatorClient, after: Revision) -> Result<Revision, CliError> {
     let mut last = after;
     loop {
@@ -131,7 +132,7 @@
 
 fn print_entry(entry: &LogEntry) {
     for cell in &entry.edit.cells {
-        say(format_args!(
+        print_stdout(format_args!(
             "{}\t{}\t{}\t{}\t{} -> {}\n",
             entry.revision,
             entry.committed_unix_ms,
@@ -146,8 +147,8 @@
 fn assignments(matches: &ArgMatches, name: &str) -> Result<Vec<(CellAddress, String)>, CliError> {
     let texts = matches.get_many::<String>(name).unwrap_or_default();
     let assignment = |text: &String| {
-        let bad = || CliError::Assignment(text.clone());
-        let (address, value) = text.split_once('=').ok_or_else(bad)?;
+        let invalid = || CliError::Assignment(text.clone());
+        let (address, value) = text.split_once('=').ok_or_else(invalid)?;
         Ok((address.parse()?, value.to_owned()))
     };
     texts.map(assignment).collect()
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong on the command line.
+//! Errors of the command-line tool.
 
 use displaydoc::Display;
 use stallhoist_entry::EntryError;
@@ -8,7 +8,7 @@
 use stallhoist_table::CellError;
 use stallhoist_table::SheetError;
 
-/// What can go wrong on the command line.
+/// An error that ends a command; its text goes to standard error.
 #[derive(Debug, Display, thiserror::Error)]
 pub(crate) enum CliError {
     /// the log says nothing of a request '{0}'
@@ -19,9 +19,9 @@
     Unreachable(#[from] reqwest::Error),
     /// the operators' endpoint answered with status {status}: {detail}
     Refused {
-        /// The HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// What it said.
+        /// Error text of the response, with one line for each conflicting cell.
         detail: String,
     },
     /// {0}
@@ -36,9 +36,9 @@
     EditId(String),
     /// {file}: {cause}
     File {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Why.
+        /// The I/O error.
         cause: std::io::Error,
     },
     /// a stand-in or an endpoint did not start: {0}
--- a/src/local/addresses.rs
+++ b/src/local/addresses.rs
@@ -1,10 +1,10 @@
-//! Where the local system is.
+//! Endpoints of the local system.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// Where the local system is, and the keys it takes.
+/// Endpoints of the local system, and the keys that they accept.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Addresses {
     pub(crate) callers_url: String,
--- a/src/local/fleet.rs
+++ b/src/local/fleet.rs
@@ -1,4 +1,4 @@
-//! Everything that the local system is made of.
+//! Processes and stand-ins of the local system.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -31,18 +31,18 @@
 use super::table;
 use crate::error::CliError;
 
-const READY_PATIENCE: Duration = Duration::from_secs(10);
-const READY_EVERY: Duration = Duration::from_millis(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 const ZONES: [&str; 3] = ["zone-1", "zone-2", "zone-3"];
 
-/// The ports that were asked for; 0 takes a free one.
+/// Requested ports; 0 selects a free one.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LocalPorts {
     pub(super) callers: u16,
     pub(super) operators: u16,
 }
 
-/// Everything that the local system is made of.
+/// The running local system: one entry, one sidecar for each upstream, and the stand-ins.
 #[derive(Debug)]
 pub(super) struct LocalFleet {
     platform: PlatformStandin,
@@ -54,15 +54,15 @@
     operators_key: String,
 }
 
-/// What the processes of one local fleet have in common.
-struct Common {
+/// Settings that all processes of the local system share.
+struct SharedSettings {
     fleet_key: String,
     operators_key: String,
     platform: PlatformSettings,
     timing: TimingSettings,
 }
 
-impl Common {
+impl SharedSettings {
     fn host(&self, id: &str, zone: &str) -> HostSettings {
         HostSettings {
             id: id.parse().expect("a valid name"),
@@ -74,10 +74,13 @@
 }
 
 impl LocalFleet {
-    /// Starts everything and waits until it is ready.
+    /// Starts all parts and waits until they are ready.
+    ///
+    /// # Errors
+    /// Fails if a part does not start, or if the system isn't ready within [`READY_TIMEOUT`].
     pub(super) async fn start(ports: LocalPorts, engines: u16) -> Result<Self, CliError> {
         let platform = PlatformStandin::start(loopback(0)).await?;
-        let common = Common {
+        let shared = SharedSettings {
             fleet_key: new_key("fleet"),
             operators_key: new_key("operators"),
             platform: PlatformSettings {
@@ -98,20 +101,20 @@
                 let name = format!("{}-{number}", target.replace('@', "-"));
                 let zone = ZONES[number % ZONES.len()];
                 let upstream = upstream(UpstreamKind::Engine, engine.url(), target);
-                let sidecar = start_sidecar(&common, &name, zone, upstream).await?;
-                hosts.push(listed(&name, zone, &sidecar, target));
+                let sidecar = start_sidecar(&shared, &name, zone, upstream).await?;
+                hosts.push(host_entry(&name, zone, &sidecar, target));
                 fleet_engines.push(engine);
                 sidecars.push(sidecar);
             }
         }
         let service = ServiceStandin::start(loopback(0)).await?;
         let upstream = upstream(UpstreamKind::Service, service.url(), table::service());
-        let sidecar = start_sidecar(&common, "ledger-0", ZONES[0], upstream).await?;
-        hosts.push(listed("ledger-0", ZONES[0], &sidecar, table::service()));
+        let sidecar = start_sidecar(&shared, "ledger-0", ZONES[0], upstream).await?;
+        hosts.push(host_entry("ledger-0", ZONES[0], &sidecar, table::service()));
         sidecars.push(sidecar);
         platform.set_hosts(hosts);
-        let entry = start_entry(&common, ports).await?;
-        let operators_key = common.operators_key;
+        let entry = start_entry(&shared, ports).await?;
+        let operators_key = shared.operators_key;
         let fleet = Self {
             platform,
             engines: fleet_engines,
@@ -121,11 +124,10 @@
             workspace_key,
             operators_key,
         };
-        fleet.wait_ready().await?;
+        fleet.wait_until_ready().await?;
         Ok(fleet)
     }
 
-    /// Where everything is.
     pub(super) fn addresses(&self) -> Addresses {
         Addresses {
             callers_url: format!("http://{}", self.entry.callers_addr()),
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Stops everything in order, so that no request is cut off and no record is lost.
+    /// Stops the entry, then the sidecars, then the stand-ins, so that no request is cut off and no record lost.
     pub(super) async fn stop(self) {
         self.entry.leave().wait_for_balancer().await.finish().await;
         for sidecar in self.sidecars {
@@ -150,19 +152,19 @@
         self.platform.stop().await;
     }
 
-    /// Ready is when the table is in force at every host.
-    async fn wait_ready(&self) -> Result<(), CliError> {
+    /// Waits until the table is active on every host.
+    async fn wait_until_ready(&self) -> Result<(), CliError> {
         let http = reqwest::Client::builder().no_proxy().build()?;
         let url = format!("http://{}/v1/table/progress?revision=1", self.entry.operators_addr());
         let began = Instant::now();
-        while began.elapsed() < READY_PATIENCE {
+        while began.elapsed() < READY_TIMEOUT {
             let reply = http.get(&url).bearer_auth(&self.operators_key).send().await?;
-            let progress: crate::operator_client::InForce = reply.json().await?;
+            let progress: crate::operator_client::EditProgress = reply.json().await?;
             let is_complete = progress.hosts == self.sidecars.len() + 1;
             if is_complete && progress.missing.is_empty() {
                 return Ok(());
             }
-            tokio::time::sleep(READY_EVERY).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
         Err(CliError::NotReady)
     }
@@ -177,8 +179,8 @@
 }
 
 async fn write_table(platform: &PlatformStandin, workspace_key: &str) -> Result<(), CliError> {
-    let client = PlatformClient::new(&platform.url(), READY_PATIENCE);
-    let edit = table::first_edit(workspace_key)?;
+    let client = PlatformClient::new(&platform.url(), READY_TIMEOUT);
+    let edit = table::initial_edit(workspace_key)?;
     let committed = TableStore::new(client).commit(&edit).await;
     committed.map(|_| ()).map_err(|_| CliError::NotReady)
 }
@@ -192,35 +194,35 @@
 }
 
 async fn start_sidecar(
-    common: &Common,
+    shared: &SharedSettings,
     name: &str,
     zone: &str,
     upstream: UpstreamSettings,
 ) -> Result<Sidecar, CliError> {
     let settings = SidecarSettings {
-        host: common.host(name, zone),
-        platform: common.platform.clone(),
-        timing: common.timing.clone(),
+        host: shared.host(name, zone),
+        platform: shared.platform.clone(),
+        timing: shared.timing.clone(),
         upstream,
         ..SidecarSettings::default()
     };
     Ok(Sidecar::start(settings).await?)
 }
 
-async fn start_entry(common: &Common, ports: LocalPorts) -> Result<Entry, CliError> {
+async fn start_entry(shared: &SharedSettings, ports: LocalPorts) -> Result<Entry, CliError> {
     let settings = EntrySettings {
-        host: common.host("entry-0", ZONES[0]),
+        host: shared.host("entry-0", ZONES[0]),
         callers_addr: loopback(ports.callers).to_string(),
         operators_addr: loopback(ports.operators).to_string(),
-        platform: common.platform.clone(),
+        platform: shared.platform.clone(),
         session_keys: vec![Secret::new(new_key("session"))],
-        timing: common.timing.clone(),
+        timing: shared.timing.clone(),
         ..EntrySettings::default()
     };
     Ok(Entry::start(settings).await?)
 }
 
-fn listed(name: &str, zone: &str, sidecar: &Sidecar, target: &str) -> HostEntry {
+fn host_entry(name: &str, zone: &str, sidecar: &Sidecar, target: &str) -> HostEntry {
     HostEntry {
         host: name.parse().expect("a valid name"),
         zone: zone.parse().expect("a valid name"),
--- a/src/local/mod.rs
+++ b/src/local/mod.rs
@@ -1,4 +1,7 @@
-//! `stallhoist local`: the whole path in one process on loopback, over stand-ins.
+//! `stallhoist local`: runs the whole request path in one process on loopback, against stand-ins.
+//!
+//! `fleet` starts and stops the parts, `table` holds the initial table, `addresses` prints the endpoints. The
+//! parts stop in the order of the request path, so that no request is cut off.
 
 mod addresses;
 mod fleet;
@@ -13,12 +16,12 @@
 use stallhoist_telemetry::LogOutput;
 use stallhoist_telemetry::start_logging;
 
-use crate::commands::say;
+use crate::commands::print_stdout;
 use crate::error::CliError;
 use crate::local::fleet::LocalFleet;
 use crate::local::fleet::LocalPorts;
 
-/// Starts everything, says where it is, and serves until it is told to stop.
+/// Starts the local system, prints its addresses and serves until a stop signal arrives.
 pub(crate) async fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let level = matches.get_one::<String>("log-level").and_then(|text| text.parse().ok());
     start_logging(level.unwrap_or(LogLevel::Warn), LogOutput::Stderr);
@@ -33,9 +36,9 @@
         let cause = |cause| CliError::File { file: path.display().to_string(), cause };
         fs::write(path, json).map_err(cause)?;
     }
-    say(format_args!("{addresses}"));
+    print_stdout(format_args!("{addresses}"));
     stop.wait().await;
-    say(format_args!("stopping\n"));
+    print_stdout(format_args!("stopping\n"));
     fleet.stop().await;
     Ok(())
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,8 @@
-//! The operators' command line of stallhoist.
+//! Command-line tool for operators.
 //!
-//! It talks to entries and sidecars over their operators' endpoints, checks settings
-//! files, and can run the whole path in one process on loopback, over stand-ins.
+//! Calls the operators' endpoints of entries and sidecars, validates settings files, and runs the whole
+//! request path in one process on loopback, against stand-ins. Read `cli` for the commands and their
+//! arguments, then `commands` and `local` for what they do.
 
 mod cli;
 mod commands;
--- a/src/operator_client.rs
+++ b/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! A client of an operators' endpoint.
+//! HTTP client for an operators' endpoint.
 
 use clap::ArgMatches;
 use reqwest::RequestBuilder;
@@ -14,22 +14,22 @@
 
 use crate::error::CliError;
 
-/// Where an edit is in force.
+/// The hosts on which a revision is active, and those where it isn't yet.
 #[derive(Debug, Clone, Deserialize)]
-pub(crate) struct InForce {
+pub(crate) struct EditProgress {
     pub(crate) in_force_hosts: usize,
     pub(crate) hosts: usize,
     pub(crate) missing: Vec<String>,
 }
 
-/// The answer to an edit.
+/// Response to an edit.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct EditReply {
     pub(crate) status: String,
     pub(crate) revision: u64,
 }
 
-/// A version that is held back.
+/// A version that the guard holds, with the counts behind that decision.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct Hold {
     pub(crate) version: String,
@@ -40,7 +40,7 @@
     pub(crate) poor_ratings: u64,
 }
 
-/// What the guard says.
+/// The versions that the guard holds, and the upstreams (host and version) that it reports as sick.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct Holds {
     pub(crate) holds: Vec<Hold>,
@@ -59,7 +59,7 @@
     lines: Vec<BillLine>,
 }
 
-/// A client of an operators' endpoint.
+/// HTTP client for an operators' endpoint.
 #[derive(Debug)]
 pub(crate) struct OperatorClient {
     http: reqwest::Client,
@@ -68,7 +68,10 @@
 }
 
 impl OperatorClient {
-    /// A client of the endpoint that the arguments name.
+    /// Creates a client from the `addr` and `key` arguments.
+    ///
+    /// # Errors
+    /// Fails if the HTTP client can't be built.
     pub(crate) fn from_matches(matches: &ArgMatches) -> Result<Self, CliError> {
         let text = |name| matches.get_one::<String>(name).cloned().unwrap_or_default();
         let http = reqwest::Client::builder().no_proxy().build()?;
@@ -85,7 +88,7 @@
         self.get(&format!("/v1/table/history?after={after}")).await
     }
 
-    pub(crate) async fn progress(&self, revision: u64) -> Result<InForce, CliError> {
+    pub(crate) async fn progress(&self, revision: u64) -> Result<EditProgress, CliError> {
         self.get(&format!("/v1/table/progress?revision={revision}")).await
     }
 
