--- a/crates/measure/src/events.rs
+++ b/crates/measure/src/events.rs
@@ -1,12 +1,12 @@
-//! A queue of events in virtual time.
+//! Event queue of a discrete-event simulation.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use stallhoist_core::MonoTime;
 
-/// A queue of events in virtual time. Events of one time come in the order they were
-/// added, so that a run is the same every time.
+/// A priority queue of events in virtual time. Events with equal times are returned in insertion order, which
+/// keeps runs deterministic.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<(MonoTime, u64)>>,
@@ -21,14 +21,14 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Adds an event.
+    /// Schedules an event at virtual time `at`.
     pub fn add(&mut self, at: MonoTime, event: E) {
         self.heap.push(Reverse((at, self.added)));
         self.events.insert(self.added, event);
         self.added += 1;
     }
 
-    /// Takes the next event.
+    /// Removes and returns the earliest event with its time.
     pub fn pop(&mut self) -> Option<(MonoTime, E)> {
         let Reverse((at, number)) = self.heap.pop()?;
         self.events.remove(&number).map(|event| (at, event))
--- a/crates/measure/src/fake_engine.rs
+++ b/crates/measure/src/fake_engine.rs
@@ -1,20 +1,20 @@
-//! How long the fake engine takes.
+//! Timing model of the simulated engine.
 
 use std::time::Duration;
 
-/// How long the fake engine takes: a step of `base + batch * per_request`, lengthened
-/// by the part of prompts that it takes in with it.
+/// Timing of the simulated engine. A step takes `step_base + batch * step_per_request`, plus `prefill_per_token`
+/// for each prompt token that it processes.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineTimes {
-    /// The fixed part of a step.
+    /// Fixed time of a step.
     pub step_base: Duration,
-    /// What each request in the batch adds.
+    /// Additional time of a step for each request in the batch.
     pub step_per_request: Duration,
-    /// Time to take in one uncached prompt token.
+    /// Prefill time of one uncached prompt token.
     pub prefill_per_token: Duration,
-    /// The most prompt tokens taken in with one step.
+    /// Most prompt tokens that one step processes.
     pub prefill_tokens_per_step: u64,
-    /// All times are multiplied by this.
+    /// Factor that all times are multiplied by.
     pub slowdown: f64,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl EngineTimes {
-    /// The time of a step.
+    /// Returns the time of a step over `batch` requests that processes `prefill_tokens` prompt tokens.
     pub fn step(&self, batch: usize, prefill_tokens: u64) -> Duration {
         let batch = u32::try_from(batch).unwrap_or(u32::MAX);
         let prefill = u32::try_from(prefill_tokens).unwrap_or(u32::MAX);
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,9 +1,11 @@
-//! Small fakes in virtual time, on which the decisions are measured.
+//! Discrete-event simulation for the benchmarks of the policies.
 //!
-//! This crate exists so that the policy code that the daemons run can be measured
-//! against baselines over minutes of load in a second of work, the same on every
-//! machine. It is no model of a cluster: there is a fake engine, a queue of events,
-//! and what reports need. The benches of the root package drive it.
+//! The simulation runs the policy code of the daemons against baselines. It covers minutes of load in about a
+//! second of computation, with the same result on every machine. It doesn't model a cluster: it consists of a
+//! simulated engine behind the real admission controller, a workload generator, an event queue and helpers for
+//! reports. The benches of the root package drive it.
+//!
+//! Read `workload` and `fake_engine` first, then `upstream`.
 
 mod events;
 mod fake_engine;
--- a/crates/measure/src/line_fit.rs
+++ b/crates/measure/src/line_fit.rs
@@ -1,18 +1,18 @@
-//! A straight line through measured points.
+//! Linear regression.
 
-/// A straight line through measured points, by least squares.
+/// A least-squares line through points.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LineFit {
-    /// The value at zero.
+    /// Value at `x = 0`.
     pub base: f64,
-    /// The growth for each unit.
+    /// Increase for each unit of `x`.
     pub slope: f64,
-    /// The largest distance of a point from the line, as a part of the largest value.
+    /// Largest absolute residual, divided by the largest absolute `y`.
     pub max_relative_residual: f64,
 }
 
 impl LineFit {
-    /// Fits a line through points `(x, y)`.
+    /// Fits a line to points `(x, y)`.
     ///
     /// # Panics
     /// Panics with fewer than two points.
@@ -31,7 +31,7 @@
         Self { base, slope, max_relative_residual: worst / largest }
     }
 
-    /// The line's value at `x`.
+    /// Returns the line's value at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.base + self.slope * x
     }
--- a/crates/measure/src/process_usage.rs
+++ b/crates/measure/src/process_usage.rs
@@ -1,21 +1,21 @@
-//! What a process uses, as the kernel counts it.
+//! CPU time and memory of a process, read from `/proc`.
 
 use std::fs;
 use std::time::Duration;
 
 const KIB: f64 = 1_024.0;
 
-/// What a process has used.
+/// CPU time and resident memory of a process.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessUsage {
-    /// Processor time of all its threads that live.
+    /// CPU time of all threads that are still alive.
     pub processor: Duration,
-    /// Memory that is resident, in MiB.
+    /// Resident memory in MiB.
     pub resident_mib: f64,
 }
 
 impl ProcessUsage {
-    /// What a process has used up to now; zeros when it is gone.
+    /// Reads the current usage of a process by its ID. All values are zero if the process has exited.
     pub fn of(process: u32) -> Self {
         Self { processor: processor(process), resident_mib: resident_mib(process) }
     }
--- a/crates/measure/src/report.rs
+++ b/crates/measure/src/report.rs
@@ -1,9 +1,9 @@
-//! Tables on standard output and in CSV files.
+//! Result tables, printed as Markdown and written as CSV.
 
 use std::fs;
 use std::path::PathBuf;
 
-/// A table that is printed and written to `target/measurements/<name>.csv`.
+/// A table that is printed as Markdown and written to `target/measurements/<name>.csv`.
 #[derive(Debug)]
 pub struct Report {
     name: &'static str,
@@ -12,20 +12,20 @@
 }
 
 impl Report {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(name: &'static str, headings: &[&'static str]) -> Self {
         Self { name, headings: headings.to_vec(), rows: Vec::new() }
     }
 
-    /// Adds a row.
+    /// Adds a row with one cell for each heading.
     pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
 
-    /// Prints the table in Markdown and writes it as CSV.
+    /// Prints the table and writes the CSV file.
     ///
     /// # Panics
-    /// Panics when the file cannot be written.
+    /// Panics if the file cannot be written.
     pub fn finish(&self) {
         println!("\n## {}\n", self.name);
         println!("| {} |", self.headings.join(" | "));
@@ -43,7 +43,7 @@
     }
 }
 
-/// Benches run in their package's folder; their figures go beside other build output.
+/// Returns the path of the CSV file, relative to the package directory in which Cargo runs benches.
 fn csv_path(name: &str) -> PathBuf {
     let folder = PathBuf::from("target/measurements");
     fs::create_dir_all(&folder).expect("the folder can be made");
--- a/crates/measure/src/spread.rs
+++ b/crates/measure/src/spread.rs
@@ -1,23 +1,23 @@
-//! Medians and spreads.
+//! Summary statistics.
 
 use std::fmt;
 
-/// Minimum, median and maximum of one figure over several seeds.
+/// Minimum, median and maximum of a value over several seeds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Spread {
-    /// The smallest.
+    /// Smallest value.
     pub min: f64,
-    /// The middle one.
+    /// Median; of an even number of values, the larger of the middle two.
     pub median: f64,
-    /// The largest.
+    /// Largest value.
     pub max: f64,
 }
 
 impl Spread {
-    /// The spread of some figures.
+    /// Summarizes the values.
     ///
     /// # Panics
-    /// Panics when there are none.
+    /// Panics if `figures` is empty.
     pub fn of(figures: &[f64]) -> Self {
         let mut sorted = figures.to_vec();
         sorted.sort_by(f64::total_cmp);
@@ -31,7 +31,7 @@
     }
 }
 
-/// The value that a part `quantile` of the figures does not exceed; zero without figures.
+/// Returns the value at `quantile` (0 to 1) by the nearest rank, or zero if `figures` is empty. Sorts `figures`.
 pub fn percentile(figures: &mut [f64], quantile: f64) -> f64 {
     if figures.is_empty() {
         return 0.0;
--- a/crates/measure/src/upstream.rs
+++ b/crates/measure/src/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream in virtual time: the real admission controller before a fake engine.
+//! Simulated upstream: the real admission controller in front of a simulated engine.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -17,7 +17,7 @@
 use super::EngineTimes;
 use super::FakeRequest;
 
-/// A request in the batch.
+/// A request in the engine's batch.
 #[derive(Debug)]
 struct Active {
     id: usize,
@@ -26,43 +26,43 @@
     prefill_tokens: u64,
 }
 
-/// What a step brought.
+/// Result of one engine step.
 #[derive(Debug, Default)]
 pub struct StepResult {
-    /// Requests whose first token came.
+    /// Requests that got their first token.
     pub first_tokens: Vec<usize>,
-    /// Requests that ended.
+    /// Requests that finished.
     pub finished: Vec<usize>,
-    /// Requests that were refused after waiting, with the time to stay away.
+    /// Requests that were rejected while queued, with the delay before a retry.
     pub refused: Vec<(usize, Duration)>,
-    /// How long the step took: the time between tokens of all in the batch.
+    /// Duration of the step, which is the token interval of every request in the batch.
     pub took: Duration,
-    /// How many got a token.
+    /// Number of requests that got a token.
     pub batch: usize,
 }
 
-/// An upstream in virtual time: the real admission controller before a fake engine.
+/// A simulated upstream: the real admission controller in front of a simulated engine.
 #[derive(Debug)]
 pub struct FakeUpstream {
-    /// How long the engine takes.
+    /// Timing of the engine.
     pub times: EngineTimes,
-    /// The controller.
+    /// The admission controller.
     pub admission: AdmissionController<usize>,
-    /// While set, the upstream neither answers nor works.
+    /// While set, the upstream begins no step. The benches treat its probes as timed out.
     pub is_frozen: bool,
     active: Vec<Active>,
-    /// Admitted while a step is under way: in the batch from the next one on.
-    joining: Vec<Active>,
+    /// Requests admitted during a step; they join the batch at the next one.
+    joining_requests: Vec<Active>,
     waiting: HashMap<usize, FakeRequest>,
     step_began: Option<MonoTime>,
     step_ends: Option<MonoTime>,
-    cached: HashSet<u64>,
-    by_age: VecDeque<u64>,
+    cached_blocks: HashSet<u64>,
+    insertion_order: VecDeque<u64>,
     cache_blocks: usize,
     block_tokens: u64,
-    /// What the sidecar knows of the cache.
-    known: HashSet<u64>,
-    /// Events on their way to the sidecar; every so many one is lost.
+    /// Blocks that the sidecar assumes to be cached.
+    known_blocks: HashSet<u64>,
+    /// Cache events in transit to the sidecar, `(stored, block)` each. `None` stands for a detected loss.
     events: VecDeque<(MonoTime, Option<(bool, u64)>)>,
     event_lag: Duration,
     lose_event_every: u64,
@@ -70,22 +70,22 @@
 }
 
 impl FakeUpstream {
-    /// An idle upstream.
+    /// Creates an idle upstream.
     pub fn new(times: EngineTimes, config: AdmissionConfig) -> Self {
         Self {
             times,
             admission: AdmissionController::new(config),
             is_frozen: false,
             active: Vec::new(),
-            joining: Vec::new(),
+            joining_requests: Vec::new(),
             waiting: HashMap::new(),
             step_began: None,
             step_ends: None,
-            cached: HashSet::new(),
-            by_age: VecDeque::new(),
+            cached_blocks: HashSet::new(),
+            insertion_order: VecDeque::new(),
             cache_blocks: 4_096,
             block_tokens: 64,
-            known: HashSet::new(),
+            known_blocks: HashSet::new(),
             events: VecDeque::new(),
             event_lag: Duration::from_millis(200),
             lose_event_every: 0,
@@ -93,38 +93,39 @@
         }
     }
 
-    /// Makes cache events come this late, and loses one in `lose_every`.
+    /// Delays cache events by `lag` and drops one in `lose_every`; 0 drops none.
     pub fn with_cache_events(mut self, lag: Duration, lose_every: u64) -> Self {
         self.event_lag = lag;
         self.lose_event_every = lose_every;
         self
     }
 
-    /// How much runs and waits, as the engine would report it.
+    /// Returns the number of running and queued requests.
     pub fn load(&self) -> usize {
         self.admission.in_flight() + self.admission.queue_len()
     }
 
-    /// What a probe would be answered.
+    /// Returns the prediction with which a sidecar would answer a probe.
     pub fn predict(
         &mut self,
         now: MonoTime,
         request: &FakeRequest,
         deadline: MonoTime,
     ) -> Prediction {
-        let work = self.work(now, usize::MAX, request, deadline);
-        self.admission.predict(now, work)
+        let admission_request = self.admission_request(now, usize::MAX, request, deadline);
+        self.admission.predict(now, admission_request)
     }
 
-    /// The true time to the first token if the request were offered now, which only an
-    /// oracle can know; queued work counts with its prefill alone.
+    /// Returns the time to the first token if the request were offered now, computed from the engine's actual
+    /// state. Queued requests count only with their prefill. Only an oracle policy can use it.
     pub fn oracle_first_token_time(&self, now: MonoTime, request: &FakeRequest) -> Duration {
-        let cached = request.blocks.iter().take_while(|b| self.cached.contains(b)).count() as u64;
-        let own = request.prompt_tokens - cached * self.block_tokens;
-        let running = self.active.iter().chain(&self.joining);
+        let cached_blocks =
+            request.blocks.iter().take_while(|b| self.cached_blocks.contains(b)).count() as u64;
+        let own = request.prompt_tokens - cached_blocks * self.block_tokens;
+        let running = self.active.iter().chain(&self.joining_requests);
         let running: u64 = running.map(|active| active.prefill_tokens).sum();
         let waiting: u64 = self.waiting.values().map(|waiting| waiting.prompt_tokens).sum();
-        let batch = self.active.len() + self.joining.len() + 1;
+        let batch = self.active.len() + self.joining_requests.len() + 1;
         let rest_of_step = self.step_ends.map(|ends| ends.since(now)).unwrap_or_default();
         let tokens = own + running + waiting;
         let steps = tokens.div_ceil(self.times.prefill_tokens_per_step).max(1);
@@ -132,7 +133,7 @@
         rest_of_step + self.times.step(batch, 0) * (steps - 1) + self.times.step(batch, tokens)
     }
 
-    /// Offers a request.
+    /// Offers a request to the admission controller.
     pub fn offer(
         &mut self,
         now: MonoTime,
@@ -140,35 +141,35 @@
         request: &FakeRequest,
         deadline: MonoTime,
     ) -> AdmissionDecision {
-        let work = self.work(now, id, request, deadline);
-        let offer = self.admission.offer(now, work);
-        match offer {
+        let admission_request = self.admission_request(now, id, request, deadline);
+        let decision = self.admission.offer(now, admission_request);
+        match decision {
             AdmissionDecision::Start => self.start(now, id, request),
             AdmissionDecision::Queued => {
                 self.waiting.insert(id, request.clone());
             }
             AdmissionDecision::Refused { .. } => {}
         }
-        offer
+        decision
     }
 
-    /// Begins a step if there is work and none is under way; when it ends.
+    /// Begins a step if there are requests and no step is running. Returns the time at which the step ends.
     pub fn begin_step(&mut self, now: MonoTime) -> Option<MonoTime> {
         if self.step_began.is_some() || self.is_frozen {
             return None;
         }
-        self.active.append(&mut self.joining);
+        self.active.append(&mut self.joining_requests);
         if self.active.is_empty() {
             return None;
         }
         self.step_began = Some(now);
-        let prefill = self.take_in_prompts();
+        let prefill = self.schedule_prefill();
         self.step_ends = Some(now.after(self.times.step(self.active.len(), prefill)));
         self.step_ends
     }
 
-    /// Takes the next part of prompts into a step, in the order they came.
-    fn take_in_prompts(&mut self) -> u64 {
+    /// Assigns the step's prefill budget to prompts, in order of arrival, and returns the tokens assigned.
+    fn schedule_prefill(&mut self) -> u64 {
         let mut room = self.times.prefill_tokens_per_step;
         for active in &mut self.active {
             let part = active.prefill_tokens.min(room);
@@ -178,7 +179,7 @@
         self.times.prefill_tokens_per_step - room
     }
 
-    /// Ends the step under way.
+    /// Ends the running step.
     pub fn end_step(&mut self, now: MonoTime) -> StepResult {
         let mut end = StepResult::default();
         self.step_ends = None;
@@ -209,7 +210,7 @@
         end
     }
 
-    /// Starts and refuses waiting work whose time has come.
+    /// Applies the admission controller's decisions on queued requests.
     pub fn pump(&mut self, now: MonoTime, end: &mut StepResult) {
         for next in self.admission.next(now) {
             match next {
@@ -227,14 +228,15 @@
     }
 
     fn start(&mut self, now: MonoTime, id: usize, request: &FakeRequest) {
-        let cached = request.blocks.iter().take_while(|b| self.cached.contains(b)).count() as u64;
+        let cached_blocks =
+            request.blocks.iter().take_while(|b| self.cached_blocks.contains(b)).count() as u64;
         for block in &request.blocks {
             self.store(now, *block);
         }
-        // The sidecar expects what it sends to be cached, before any event says so.
-        self.known.extend(&request.blocks);
-        let prefill_tokens = request.prompt_tokens - cached * self.block_tokens;
-        self.joining.push(Active {
+        // The sidecar assumes that prompts it sends are cached before an event confirms it.
+        self.known_blocks.extend(&request.blocks);
+        let prefill_tokens = request.prompt_tokens - cached_blocks * self.block_tokens;
+        self.joining_requests.push(Active {
             id,
             tokens_left: request.completion_tokens,
             tokens_made: 0,
@@ -243,15 +245,15 @@
     }
 
     fn store(&mut self, now: MonoTime, block: u64) {
-        if !self.cached.insert(block) {
+        if !self.cached_blocks.insert(block) {
             return;
         }
-        self.by_age.push_back(block);
+        self.insertion_order.push_back(block);
         self.publish(now, true, block);
-        while self.cached.len() > self.cache_blocks
-            && let Some(oldest) = self.by_age.pop_front()
+        while self.cached_blocks.len() > self.cache_blocks
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
-            self.cached.remove(&oldest);
+            self.cached_blocks.remove(&oldest);
             self.publish(now, false, oldest);
         }
     }
@@ -263,12 +265,12 @@
         if every == 0 || !self.event_count.is_multiple_of(every) {
             self.events.push_back((due, Some((is_stored, block))));
         } else {
-            // The gap in the numbers shows, and the sidecar asks for the whole list.
+            // The sidecar detects the gap in the sequence numbers and requests the whole list.
             self.events.push_back((due, None));
         }
     }
 
-    fn work(
+    fn admission_request(
         &mut self,
         now: MonoTime,
         id: usize,
@@ -278,25 +280,25 @@
         while self.events.front().is_some_and(|(due, _)| *due <= now) {
             match self.events.pop_front() {
                 Some((_, Some((true, block)))) => {
-                    self.known.insert(block);
+                    self.known_blocks.insert(block);
                 }
                 Some((_, Some((false, block)))) => {
-                    self.known.remove(&block);
+                    self.known_blocks.remove(&block);
                 }
-                Some((_, None)) => self.known = self.cached.clone(),
+                Some((_, None)) => self.known_blocks = self.cached_blocks.clone(),
                 None => break,
             }
         }
-        // Only the marks are told, as on the wire.
+        // Only lengths at prefix marks are available, as on the wire.
         let marks = prefix_marks(request.blocks.len());
-        let is_known = |blocks: &usize| self.known.contains(&request.blocks[blocks - 1]);
-        let known = marks.into_iter().take_while(is_known).last().unwrap_or_default() as u64;
+        let is_known = |blocks: &usize| self.known_blocks.contains(&request.blocks[blocks - 1]);
+        let known_blocks = marks.into_iter().take_while(is_known).last().unwrap_or_default() as u64;
         AdmissionRequest {
             id,
             key: id as u64,
             arrived: now,
             deadline,
-            uncached_tokens: request.prompt_tokens - known * self.block_tokens,
+            uncached_tokens: request.prompt_tokens - known_blocks * self.block_tokens,
             completion_tokens: request.completion_tokens,
         }
     }
--- a/crates/measure/src/workload.rs
+++ b/crates/measure/src/workload.rs
@@ -1,4 +1,4 @@
-//! Requests as they come.
+//! Workload generator.
 
 use std::time::Duration;
 
@@ -6,37 +6,37 @@
 use rand::RngExt;
 use stallhoist_core::MonoTime;
 
-/// A request of a workload.
+/// A generated request.
 #[derive(Debug, Clone)]
 pub struct FakeRequest {
-    /// When it comes.
+    /// Arrival time.
     pub arrives: MonoTime,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of completion tokens.
     pub completion_tokens: u64,
-    /// Hashes of the prompt's blocks; equal prefixes have equal hashes.
+    /// Hashes of the prompt's blocks. Equal prefixes have equal hashes.
     pub blocks: Vec<u64>,
 }
 
-/// What requests are like.
+/// Parameters of a workload. Arrivals form a Poisson process.
 #[derive(Debug, Clone)]
 pub struct WorkloadShape {
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: f64,
-    /// How long they come.
+    /// Period in which requests arrive.
     pub duration: Duration,
-    /// Tokens of a short prompt, in the mean.
+    /// Mean tokens of a short prompt.
     pub prompt_tokens: u64,
-    /// Tokens of a long prompt, in the mean.
+    /// Mean tokens of a long prompt.
     pub long_prompt_tokens: u64,
-    /// The part of long prompts.
+    /// Fraction of requests with a long prompt, from 0 to 1.
     pub long_prompt_ratio: f64,
-    /// Tokens of an answer, in the mean.
+    /// Mean completion tokens.
     pub completion_tokens: u64,
-    /// Prefixes that requests share; 0 shares none.
+    /// Number of shared prefixes; 0 for none.
     pub shared_prefixes: u64,
-    /// Tokens of a shared prefix.
+    /// Tokens in a shared prefix.
     pub prefix_tokens: u64,
     /// Tokens in a block.
     pub block_tokens: u64,
@@ -59,7 +59,7 @@
 }
 
 impl WorkloadShape {
-    /// The requests, in the order they come.
+    /// Generates the requests in order of arrival.
     pub fn generate(&self, rng: &mut impl Rng) -> Vec<FakeRequest> {
         let mut requests = Vec::new();
         let mut at = MonoTime::default();
@@ -77,30 +77,30 @@
     fn request(&self, arrives: MonoTime, unique: u64, rng: &mut impl Rng) -> FakeRequest {
         let is_long = rng.random_bool(self.long_prompt_ratio);
         let mean = if is_long { self.long_prompt_tokens } else { self.prompt_tokens };
-        let own_tokens = around(mean, rng);
+        let unique_tokens = sample_around(mean, rng);
         let mut blocks = Vec::new();
-        let mut prompt_tokens = own_tokens;
+        let mut prompt_tokens = unique_tokens;
         if self.shared_prefixes > 0 {
-            // A few prefixes are in most requests: squaring favours the low numbers.
+            // Squaring favours low numbers, so that most requests share a few prefixes.
             let skewed = rng.random_range(0.0_f64..1.0).powi(2);
             let prefix = (skewed * self.shared_prefixes as f64) as u64;
             prompt_tokens += self.prefix_tokens;
             blocks.extend((0..self.prefix_tokens / self.block_tokens).map(|b| prefix << 20 | b));
         }
         let own = 1 << 63 | unique << 20;
-        blocks.extend((0..own_tokens / self.block_tokens).map(|block| own | block));
-        let completion_tokens = around(self.completion_tokens, rng);
+        blocks.extend((0..unique_tokens / self.block_tokens).map(|block| own | block));
+        let completion_tokens = sample_around(self.completion_tokens, rng);
         FakeRequest { arrives, prompt_tokens, completion_tokens, blocks }
     }
 }
 
-/// A sample of the exponential distribution with mean 1.
+/// Samples the exponential distribution with mean 1.
 fn exponential(rng: &mut impl Rng) -> f64 {
     -(1.0 - rng.random_range(0.0_f64..1.0)).ln()
 }
 
-/// Between a quarter of the mean and about three times it, skewed.
-fn around(mean: u64, rng: &mut impl Rng) -> u64 {
+/// Samples a skewed value between a quarter of the mean and four times the mean.
+fn sample_around(mean: u64, rng: &mut impl Rng) -> u64 {
     let factor = (0.25 + 0.75 * exponential(rng)).min(4.0);
     ((mean as f64 * factor) as u64).max(1)
 }
