--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The engine's prefix cache and the events it publishes about it.
+//! Prefix cache of the engine, and the events that it publishes.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -9,17 +9,17 @@
 
 const MAX_KEPT_EVENTS: usize = 10_000;
 
-/// What happened to a block.
+/// Kind of change to a block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum CacheEventKind {
-    /// It is cached now.
+    /// The block was added to the cache.
     Stored,
-    /// It is no longer.
+    /// The block was evicted.
     Removed,
 }
 
-/// A published event.
+/// A published cache event.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct CacheEvent {
     pub(crate) sequence: u64,
@@ -29,7 +29,7 @@
     pub(crate) at: Instant,
 }
 
-/// Blocks in the order of their last use, bounded.
+/// A bounded LRU cache of prompt blocks.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     last_use: HashMap<u64, u64>,
@@ -40,7 +40,7 @@
 }
 
 impl PrefixCache {
-    /// Uses the blocks of a prompt; gives how many of the leading ones were cached.
+    /// Marks the blocks of a prompt as used. Returns how many leading blocks were already cached.
     pub(crate) fn use_blocks(&mut self, blocks: &[u64], capacity: usize, lose_every: u64) -> usize {
         let cached = blocks.iter().take_while(|b| self.last_use.contains_key(b)).count();
         for block in blocks {
@@ -56,17 +56,17 @@
         cached
     }
 
-    /// The blocks that are cached.
+    /// Returns the cached blocks.
     pub(crate) fn blocks(&self) -> Vec<u64> {
         self.last_use.keys().copied().collect()
     }
 
-    /// The number of the last event, lost ones included.
+    /// Returns the sequence number of the last event, dropped ones included.
     pub(crate) fn last_sequence(&self) -> u64 {
         self.last_sequence
     }
 
-    /// Events after a number that happened no later than `until`.
+    /// Returns the events after a sequence number that occurred no later than `until`.
     pub(crate) fn events_after(&self, sequence: u64, until: Instant) -> Vec<CacheEvent> {
         let is_due = |event: &&CacheEvent| event.sequence > sequence && event.at <= until;
         self.events.iter().filter(is_due).cloned().collect()
--- a/crates/standins/src/engine/chat.rs
+++ b/crates/standins/src/engine/chat.rs
@@ -1,4 +1,4 @@
-//! The chat-completions interface's messages, as far as the engine knows them.
+//! Message types of the chat-completions API, as far as the engine implements it.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,7 +6,7 @@
 
 const DEFAULT_MAX_TOKENS: u64 = 16;
 
-/// A message of the conversation.
+/// A message of a conversation.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct ChatMessage {
     pub(crate) role: String,
@@ -22,7 +22,7 @@
     }
 }
 
-/// A request.
+/// A chat-completions request.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct ChatRequest {
     pub(crate) model: String,
@@ -48,7 +48,7 @@
     }
 }
 
-/// What was used.
+/// Token usage.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(crate) struct ChatUsage {
     pub(crate) prompt_tokens: u64,
--- a/crates/standins/src/engine/generation.rs
+++ b/crates/standins/src/engine/generation.rs
@@ -1,4 +1,4 @@
-//! One generation: it runs on its own, and any number of readers follow it.
+//! State of a generation. It runs independently of its readers, of which there can be any number.
 
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
@@ -8,44 +8,44 @@
 use serde::Serialize;
 use tokio::sync::watch;
 
-/// After how long without a reader a generation is cancelled.
-pub(crate) const UNREAD_GRACE: Duration = Duration::from_secs(3);
+/// Time without a reader after which a generation is cancelled.
+pub(crate) const NO_READER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How far a generation is.
+/// State of a generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GenerationState {
-    /// It waits or runs.
+    /// Queued or running.
     Running,
-    /// All tokens are there.
+    /// All tokens were generated.
     Finished,
-    /// It was cancelled.
+    /// Cancelled by a call, or for lack of readers.
     Cancelled,
-    /// It broke off.
+    /// Stopped early by a fault.
     Broken,
 }
 
-/// What the engine executed, for checks.
+/// Record of an executed generation, for tests.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineExecution {
-    /// The request's identity, as the sidecar gave it.
+    /// Request ID that the sidecar sent.
     pub request_id: String,
-    /// The model version that was asked for.
+    /// Requested model version.
     pub model: String,
-    /// How it ended or where it is.
+    /// Current or final state.
     pub state: GenerationState,
-    /// Tokens made.
+    /// Tokens generated so far.
     pub tokens: usize,
 }
 
-/// Progress that readers wait for.
+/// Progress of a generation, on which readers wait.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Progress {
     pub(crate) tokens: usize,
     pub(crate) state: GenerationState,
 }
 
-/// One generation.
+/// A generation and its progress.
 #[derive(Debug)]
 pub(crate) struct Generation {
     pub(crate) request_id: String,
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -1,6 +1,7 @@
-//! A model engine's stand-in: the chat-completions interface with streaming,
-//! continuous batching with a step time, a bounded prefix cache, cancel and resume,
-//! lagging load reports and fenced orders.
+//! Stand-in for a model engine: the chat-completions API with streaming, continuous batching with a step time, a
+//! bounded prefix cache, cancel and resume, delayed load reports and fenced orders.
+//!
+//! Read `switches` for what can be set, then `state`, which runs generations, then `routes`.
 
 mod cache;
 mod chat;
--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/orders.rs
@@ -1,17 +1,17 @@
-//! Fenced orders: load a model, adapter or version, or change role.
+//! Orders with a fencing token: load or unload a version, or change role.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// An order.
+/// An order to the engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "kebab-case", deny_unknown_fields)]
 pub(crate) enum Order {
-    /// Load a version from the weight store.
+    /// Loads a version from the weight store.
     Load { version: String, fencing_token: u64 },
-    /// Unload a version.
+    /// Unloads a version.
     Unload { version: String, fencing_token: u64 },
-    /// Take a role in serving.
+    /// Sets the serving role.
     SetRole { role: String, fencing_token: u64 },
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// What became of the orders so far.
+/// Result of the orders so far.
 #[derive(Debug, Clone, Default, Serialize)]
 pub(crate) struct OrderLog {
     pub(crate) highest_fencing_token: u64,
@@ -36,7 +36,8 @@
 }
 
 impl OrderLog {
-    /// Whether the order was taken.
+    /// Applies an order and returns whether it was accepted. With `checks_fencing`, an order whose token is lower
+    /// than the highest accepted one is rejected.
     pub(crate) fn take(&mut self, order: &Order, checks_fencing: bool) -> bool {
         if checks_fencing && order.fencing_token() < self.highest_fencing_token {
             self.refused += 1;
--- a/crates/standins/src/engine/routes.rs
+++ b/crates/standins/src/engine/routes.rs
@@ -1,4 +1,4 @@
-//! The engine's published interface.
+//! HTTP routes of the engine, and routes under `/standin` that control the stand-in.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -62,7 +62,7 @@
     )
 }
 
-/// The request's identity, from its header; made up where none is given.
+/// Request ID from the header, or a generated one if the header is missing.
 struct RequestIdHeader(String);
 
 #[rocket::async_trait]
@@ -95,7 +95,7 @@
     id: RequestIdHeader,
     request: Json<ChatRequest>,
 ) -> Result<ChatReply, Status> {
-    if engine.is_to_fail() {
+    if engine.should_fail() {
         return Err(Status::InternalServerError);
     }
     let generation = engine.start(id.0, &request);
@@ -107,7 +107,7 @@
     let is_over = |p: &super::generation::Progress| p.state != GenerationState::Running;
     let over = progress.wait_for(is_over).await.map(|p| *p);
     match over.map(|p| p.state) {
-        Ok(GenerationState::Finished) => Ok(ChatReply::Whole(Json(whole_answer(&reader.0)))),
+        Ok(GenerationState::Finished) => Ok(ChatReply::Whole(Json(complete_answer(&reader.0)))),
         _ => Err(Status::InternalServerError),
     }
 }
@@ -177,7 +177,7 @@
     *engine.switches.lock() = switches.into_inner();
 }
 
-/// Counts as a reader of a generation for as long as it lives.
+/// Counts as a reader of a generation until dropped.
 struct Reader(Arc<Generation>);
 
 impl Reader {
@@ -193,7 +193,7 @@
     }
 }
 
-fn whole_answer(generation: &Generation) -> ChatAnswer {
+fn complete_answer(generation: &Generation) -> ChatAnswer {
     let completion_tokens = generation.words.len() as u64;
     let text = generation.words.join(" ");
     ChatAnswer {
@@ -210,8 +210,8 @@
     }
 }
 
-/// Events from token `from` on: one for each token, then one with the usage, then
-/// the end mark. A broken generation ends without it.
+/// Streams one event for each token from `from` on, then one with the usage, then `[DONE]`. The stream of a
+/// generation that doesn't finish ends without the last two.
 fn stream_from(reader: Reader, from: usize) -> ChatStream {
     let events = rocket::async_stream::stream! {
         let generation = Arc::clone(&reader.0);
--- a/crates/standins/src/engine/server.rs
+++ b/crates/standins/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine's stand-in as a running server.
+//! Server of the engine's stand-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 const MAX_PROMPT_BYTES: usize = 32 << 20;
 
-/// A model engine's stand-in, serving.
+/// A running stand-in for a model engine.
 #[derive(Debug)]
 pub struct EngineStandin {
     state: Arc<EngineState>,
@@ -22,10 +22,10 @@
 }
 
 impl EngineStandin {
-    /// Starts it on an address; port 0 takes a free one.
+    /// Starts the engine on an address; port 0 selects a free port.
     ///
     /// # Errors
-    /// Fails when the address cannot be listened on.
+    /// Fails if the address can't be bound.
     pub async fn start(addr: SocketAddr, switches: EngineSwitches) -> Result<Self, ServerError> {
         let state = Arc::new(EngineState::default());
         *state.switches.lock() = switches;
@@ -35,30 +35,30 @@
         Ok(Self { state, server })
     }
 
-    /// The address as a URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         format!("http://{}", self.server.addr())
     }
 
-    /// Changes how the engine behaves.
+    /// Replaces the engine's settings.
     pub fn set_switches(&self, switches: EngineSwitches) {
         *self.state.switches.lock() = switches;
     }
 
-    /// What was executed, in order.
+    /// Returns the executed generations in order of arrival.
     pub fn executions(&self) -> Vec<EngineExecution> {
         let generations = self.state.generations.lock();
         generations.in_order.iter().map(|g| g.execution()).collect()
     }
 
-    /// Forgets what was executed, so that long runs stay small.
+    /// Drops the records of executed generations, which bounds memory in long runs.
     pub fn clear_executions(&self) {
         let mut generations = self.state.generations.lock();
         generations.by_request.clear();
         generations.in_order.clear();
     }
 
-    /// Stops serving.
+    /// Stops the server.
     pub async fn stop(self) {
         self.server.stop(crate::STOP_LINGER).await;
     }
--- a/crates/standins/src/engine/state.rs
+++ b/crates/standins/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What the engine's routes and generations share.
+//! State that the engine's routes and generations share, and the loop that runs a generation.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -18,21 +18,21 @@
 use super::chat::ChatRequest;
 use super::generation::Generation;
 use super::generation::GenerationState;
-use super::generation::UNREAD_GRACE;
+use super::generation::NO_READER_TIMEOUT;
 use super::orders::OrderLog;
 use super::switches::EngineSwitches;
 
 const MAX_KEPT_LOADS: usize = 1_000;
 
-/// A load report.
+/// A load report: numbers of running and queued requests.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(crate) struct Load {
     pub(crate) running_requests: usize,
     pub(crate) waiting_requests: usize,
 }
 
-/// What the engine's routes and generations share. Lock order: `switches`,
-/// `generations`, `cache`, `loads`, `orders`.
+/// State that the engine's routes and generations share. Lock order: `switches`, `generations`, `cache`, `loads`,
+/// `orders`.
 #[derive(Debug, Default)]
 pub(crate) struct EngineState {
     pub(crate) switches: Mutex<EngineSwitches>,
@@ -46,7 +46,7 @@
     freed: Notify,
 }
 
-/// All generations, by request and in order.
+/// All generations, by request ID and in order of arrival.
 #[derive(Debug, Default)]
 pub(crate) struct Generations {
     pub(crate) by_request: HashMap<String, Arc<Generation>>,
@@ -54,15 +54,15 @@
 }
 
 impl EngineState {
-    /// Whether this request is one of those that shall fail.
-    pub(crate) fn is_to_fail(&self) -> bool {
+    /// Counts an arrival and returns whether it has to fail.
+    pub(crate) fn should_fail(&self) -> bool {
         let percent = self.switches.lock().fail_percent;
         let number = self.arrivals.fetch_add(1, Ordering::SeqCst);
-        // Evenly spaced: the running sum of the percentage passes a hundred.
+        // Spaces failures evenly: a request fails if the running sum of percentages crosses a multiple of 100.
         (number * percent) / 100 != ((number + 1) * percent) / 100
     }
 
-    /// Starts a generation and the task that runs it.
+    /// Creates a generation and spawns the task that runs it.
     pub(crate) fn start(
         self: &Arc<Self>,
         request_id: String,
@@ -85,15 +85,15 @@
     }
 
     async fn run(self: Arc<Self>, generation: Arc<Generation>, prompt: String) {
-        self.wait_for_place(&generation).await;
-        self.note_load();
+        self.wait_for_batch_slot(&generation).await;
+        self.record_load();
         self.generate(&generation, &prompt).await;
         self.running.fetch_sub(1, Ordering::SeqCst);
         self.freed.notify_waiters();
-        self.note_load();
+        self.record_load();
     }
 
-    async fn wait_for_place(&self, generation: &Generation) {
+    async fn wait_for_batch_slot(&self, generation: &Generation) {
         self.waiting.fetch_add(1, Ordering::SeqCst);
         loop {
             let freed = self.freed.notified();
@@ -121,7 +121,7 @@
         );
         let uncached = generation.prompt_tokens - cached as u64 * switches.block_tokens;
         pause(uncached * switches.prefill_us_per_token).await;
-        let mut unread_since = None;
+        let mut without_reader_since = None;
         for token in 1..=generation.words.len() {
             let batch = self.running.load(Ordering::SeqCst) as u64;
             let switches = self.switches.lock().clone();
@@ -134,7 +134,7 @@
             if cut > 0 && token as u64 >= cut {
                 return generation.end(GenerationState::Broken);
             }
-            if is_given_up(generation, &mut unread_since) {
+            if is_abandoned(generation, &mut without_reader_since) {
                 return generation.end(GenerationState::Cancelled);
             }
         }
@@ -151,7 +151,7 @@
         true
     }
 
-    fn note_load(&self) {
+    fn record_load(&self) {
         let load = Load {
             running_requests: self.running.load(Ordering::SeqCst),
             waiting_requests: self.waiting.load(Ordering::SeqCst),
@@ -163,7 +163,7 @@
         }
     }
 
-    /// The load as it was before the lag.
+    /// Returns the load as it was before the configured lag.
     pub(crate) fn reported_load(&self) -> Load {
         let lag = Duration::from_millis(self.switches.lock().load_lag_ms);
         let loads = self.loads.lock();
@@ -173,12 +173,12 @@
     }
 }
 
-fn is_given_up(generation: &Generation, unread_since: &mut Option<Instant>) -> bool {
+fn is_abandoned(generation: &Generation, without_reader_since: &mut Option<Instant>) -> bool {
     if generation.has_readers() {
-        *unread_since = None;
+        *without_reader_since = None;
         return false;
     }
-    unread_since.get_or_insert_with(Instant::now).elapsed() > UNREAD_GRACE
+    without_reader_since.get_or_insert_with(Instant::now).elapsed() > NO_READER_TIMEOUT
 }
 
 async fn pause(micros: u64) {
--- a/crates/standins/src/engine/switches.rs
+++ b/crates/standins/src/engine/switches.rs
@@ -1,35 +1,35 @@
-//! How the engine behaves.
+//! Settings of the engine's stand-in.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How the engine behaves. A step takes `step_base_us + batch * step_per_request_us`.
+/// Timing, capacity and faults of the engine. A step takes `step_base_us + batch * step_per_request_us`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineSwitches {
-    /// Time to take in one prompt token that is not cached.
+    /// Prefill time of one uncached prompt token, in microseconds.
     pub prefill_us_per_token: u64,
-    /// The fixed part of a step's time.
+    /// Fixed time of a step, in microseconds.
     pub step_base_us: u64,
-    /// What each request in the batch adds to a step.
+    /// Additional time of a step for each request in the batch, in microseconds.
     pub step_per_request_us: u64,
-    /// The most requests in one batch; others wait.
+    /// Largest batch; further requests are queued.
     pub max_batch: usize,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// Tokens in a block.
+    /// Tokens in a cache block.
     pub block_tokens: u64,
-    /// Of each hundred requests, so many fail, evenly spaced.
+    /// Percentage of requests that fail, evenly spaced.
     pub fail_percent: u64,
-    /// Streams break off after so many tokens; 0 lets them finish.
+    /// Number of tokens after which a generation breaks; 0 for never.
     pub truncate_after_tokens: u64,
-    /// Load reports show what was this long ago.
+    /// Age of the load in load reports, in milliseconds.
     pub load_lag_ms: u64,
-    /// Cache events are published this late.
+    /// Delay of cache events, in milliseconds.
     pub cache_event_lag_ms: u64,
-    /// Every so many cache events, one is lost; 0 loses none.
+    /// One in this many cache events is dropped; 0 drops none.
     pub lose_cache_event_every: u64,
-    /// Orders with an old fencing token are refused.
+    /// Whether orders with an old fencing token are rejected.
     pub checks_fencing: bool,
 }
 
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,10 +1,8 @@
-//! Small stand-ins for what surrounds the system, and a fault-injecting proxy.
+//! Stand-ins for the systems around stallhoist, and a fault-injecting TCP proxy. Used by tests and the local mode.
 //!
-//! This crate exists so that every interface can be met on one machine: the
-//! platform (table service, host list, object store, weight store, rater), model
-//! engines and plain services. Each keeps count of what it executed, which is what
-//! proofs are checked against, and each has switches that bring about failures.
-//! Nothing here is part of the product.
+//! The stand-ins implement every external interface on one machine: the platform (table service, host list,
+//! object store, weight store, rater), model engines, services that aren't models, and the users' platform. Each
+//! records what it executed, so that tests can check how often a request ran, and each can inject failures.
 
 pub mod engine;
 pub mod platform;
@@ -12,7 +10,7 @@
 mod service;
 pub mod users_platform;
 
-/// How long a stopping stand-in lets what it still writes go out.
+/// Time that a stopping stand-in allows for responses that are still being written.
 const STOP_LINGER: std::time::Duration = std::time::Duration::from_millis(50);
 
 pub use proxy::Direction;
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as programs.
+//! Command-line program that runs one stand-in.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -61,7 +61,7 @@
     ExitCode::SUCCESS
 }
 
-/// A stand-in that runs for as long as it is held.
+/// A running stand-in. It stops when dropped.
 #[expect(dead_code, reason = "held only to be kept running")]
 enum Running {
     Platform(PlatformStandin),
--- a/crates/standins/src/platform/faults.rs
+++ b/crates/standins/src/platform/faults.rs
@@ -1,18 +1,18 @@
-//! What can be made to go wrong.
+//! Faults that the platform's stand-in injects.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What goes wrong at the platform.
+/// Active faults of the platform.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every call is refused, and nothing is done.
+    /// Rejects every call without effect.
     pub outage: bool,
-    /// Every call waits this long first.
+    /// Delay before each call, in milliseconds.
     pub delay_ms: u64,
-    /// So many of the next writes take effect, and their replies are lost.
+    /// Number of next transactions that are applied but get a gateway timeout in place of their reply.
     pub lose_write_replies: u64,
-    /// The host list is shown as it was this long ago.
+    /// Age of the host list that is returned, in milliseconds.
     pub host_list_lag_ms: u64,
 }
--- a/crates/standins/src/platform/mod.rs
+++ b/crates/standins/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's stand-in: a transactional table service, the host list, an object
-//! store, a rate-limited weight store and a rater, behind one address.
+//! Stand-in for the platform: a transactional table service, the host list, an object store and a rater on one
+//! address. Read `store`, then `routes`; `server` holds the shared state, `faults` what can be made to fail.
 
 mod faults;
 mod routes;
--- a/crates/standins/src/platform/routes.rs
+++ b/crates/standins/src/platform/routes.rs
@@ -1,4 +1,4 @@
-//! The platform's published interface.
+//! HTTP routes of the platform, and routes under `/standin` that control the stand-in.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -41,8 +41,8 @@
     )
 }
 
-/// Applies the faults that every call suffers.
-async fn suffer(platform: &Platform) -> Result<(), Status> {
+/// Applies the delay and the outage, which affect every call.
+async fn apply_faults(platform: &Platform) -> Result<(), Status> {
     let faults = platform.faults.lock().clone();
     if faults.delay_ms > 0 {
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
@@ -55,7 +55,7 @@
 
 #[get("/v1/record?<key>")]
 async fn read(platform: &Platform, key: &str) -> Result<Json<Record>, Status> {
-    suffer(platform).await?;
+    apply_faults(platform).await?;
     let found = platform.store.lock().read(key);
     found.map(Json).ok_or(Status::NotFound)
 }
@@ -67,7 +67,7 @@
     after: &str,
     limit: usize,
 ) -> Result<Json<RecordPage>, Status> {
-    suffer(platform).await?;
+    apply_faults(platform).await?;
     Ok(Json(platform.store.lock().list(prefix, after, limit)))
 }
 
@@ -84,7 +84,7 @@
     platform: &Platform,
     transaction: Json<Transaction>,
 ) -> Result<CommitReply, Status> {
-    suffer(platform).await?;
+    apply_faults(platform).await?;
     let committed = platform.store.lock().commit(&transaction);
     let reply = match committed {
         Ok(()) => CommitReply::Committed("{}"),
@@ -100,9 +100,9 @@
 
 #[get("/v1/hosts")]
 async fn hosts(platform: &Platform) -> Result<Json<HostList>, Status> {
-    suffer(platform).await?;
+    apply_faults(platform).await?;
     platform.store.lock().counts.reads += 1;
-    Ok(Json(platform.hosts_as_shown()))
+    Ok(Json(platform.lagged_hosts()))
 }
 
 #[post("/standin/hosts", data = "<list>")]
@@ -112,7 +112,7 @@
 
 #[put("/v1/objects/<name>", data = "<body>")]
 async fn put_object(platform: &Platform, name: &str, body: Data<'_>) -> Result<(), Status> {
-    suffer(platform).await?;
+    apply_faults(platform).await?;
     let bytes =
         body.open(MAX_OBJECT_MIB.mebibytes()).into_bytes().await.map_err(|_| Status::BadRequest)?;
     platform.objects.lock().insert(name.to_owned(), bytes.into_inner());
@@ -121,13 +121,13 @@
 
 #[get("/v1/objects/<name>")]
 async fn get_object(platform: &Platform, name: &str) -> Result<Vec<u8>, Status> {
-    suffer(platform).await?;
+    apply_faults(platform).await?;
     platform.objects.lock().get(name).cloned().ok_or(Status::NotFound)
 }
 
 #[post("/v1/ratings", data = "<request>")]
 async fn rate(platform: &Platform, request: Json<RatingRequest>) -> Result<Json<Rating>, Status> {
-    suffer(platform).await?;
+    apply_faults(platform).await?;
     let quality = platform.quality.lock();
     let score = quality.get(&request.version.to_string()).copied().unwrap_or(DEFAULT_SCORE);
     Ok(Json(Rating { score }))
--- a/crates/standins/src/platform/server.rs
+++ b/crates/standins/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in as a running server.
+//! Server and shared state of the platform's stand-in.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -20,26 +20,25 @@
 use super::routes;
 use super::store::Store;
 
-/// How many past host lists are kept to be shown late.
+/// Past host lists that are kept for delayed delivery.
 const MAX_PAST_LISTS: usize = 1_000;
 
-/// What the routes share. Lock order: `faults`, then `store`, then `hosts`, then
-/// `objects`, then `quality`.
+/// State that the routes share. Lock order: `faults`, `store`, `hosts`, `objects`, `quality`.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) faults: Mutex<Faults>,
     pub(crate) store: Mutex<Store>,
-    /// Past host lists with the time each came into force, the newest last.
+    /// Host lists with the time at which each became active, newest last.
     pub(crate) hosts: Mutex<VecDeque<(Instant, HostList)>>,
     pub(crate) objects: Mutex<BTreeMap<String, Vec<u8>>>,
-    /// The score the rater gives to answers of a version; 1 where none is set.
+    /// Score that the rater gives to the responses of a version; 1 if none is set.
     pub(crate) quality: Mutex<BTreeMap<String, f64>>,
 }
 
 impl Shared {
-    /// The list of hosts, late if it lags. It never goes back: what is older than a list that was
-    /// shown is dropped.
-    pub(crate) fn hosts_as_shown(&self) -> HostList {
+    /// Returns the host list, delayed by the configured lag. Lists older than a returned one are dropped, so a
+    /// caller never sees an earlier list after a later one.
+    pub(crate) fn lagged_hosts(&self) -> HostList {
         let lag = Duration::from_millis(self.faults.lock().host_list_lag_ms);
         let mut hosts = self.hosts.lock();
         let shown = hosts.iter().rposition(|(since, _)| since.elapsed() >= lag).unwrap_or(0);
@@ -56,7 +55,7 @@
     }
 }
 
-/// The platform's stand-in, serving.
+/// A running stand-in for the platform.
 #[derive(Debug)]
 pub struct PlatformStandin {
     shared: Arc<Shared>,
@@ -64,10 +63,10 @@
 }
 
 impl PlatformStandin {
-    /// Starts an empty platform on an address; port 0 takes a free one.
+    /// Starts an empty platform on an address; port 0 selects a free port.
     ///
     /// # Errors
-    /// Fails when the address cannot be listened on.
+    /// Fails if the address can't be bound.
     pub async fn start(addr: SocketAddr) -> Result<Self, ServerError> {
         let shared = Arc::new(Shared {
             faults: Mutex::default(),
@@ -81,43 +80,43 @@
         Ok(Self { shared, server })
     }
 
-    /// The address as a URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         format!("http://{}", self.server.addr())
     }
 
-    /// Changes what goes wrong.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: Faults) {
         *self.shared.faults.lock() = faults;
     }
 
-    /// How many replies are still to be lost.
+    /// Returns the number of replies that are still to be dropped.
     pub fn remaining_lost_replies(&self) -> u64 {
         self.shared.faults.lock().lose_write_replies
     }
 
-    /// Replaces the list of hosts.
+    /// Replaces the host list.
     pub fn set_hosts(&self, hosts: Vec<HostEntry>) {
         self.shared.set_hosts(HostList { hosts });
     }
 
-    /// The list of hosts as it is, without lag.
+    /// Returns the current host list, without lag.
     pub fn hosts(&self) -> Vec<HostEntry> {
         let hosts = self.shared.hosts.lock();
         hosts.back().map(|(_, list)| list.hosts.clone()).unwrap_or_default()
     }
 
-    /// Sets the score the rater gives to a version's answers.
+    /// Sets the score that the rater gives to a version's responses.
     pub fn set_quality(&self, version: &str, score: f64) {
         self.shared.quality.lock().insert(version.to_owned(), score);
     }
 
-    /// How often the store was used.
+    /// Returns the number of calls to the store.
     pub fn counts(&self) -> StoreCounts {
         self.shared.store.lock().counts
     }
 
-    /// All records under a prefix, read past all faults, for checks.
+    /// Returns all records under a prefix. Ignores faults and isn't counted as a call.
     pub fn records(&self, prefix: &str) -> Vec<Record> {
         let mut store = self.shared.store.lock();
         let counts = store.counts;
@@ -126,7 +125,7 @@
         page.records
     }
 
-    /// Stops serving.
+    /// Stops the server.
     pub async fn stop(self) {
         self.server.stop(crate::STOP_LINGER).await;
     }
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Records with versions, and transactions over them.
+//! Versioned records and transactions over them.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,16 @@
 use stallhoist_platform::RecordVersion;
 use stallhoist_platform::Transaction;
 
-/// How often the store was used.
+/// Numbers of calls to the store.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct StoreCounts {
-    /// Calls that read.
+    /// Read calls.
     pub reads: u64,
-    /// Calls that write.
+    /// Write calls.
     pub writes: u64,
 }
 
-/// The records.
+/// Records by key. A transaction applies all its writes, or none if a condition fails.
 #[derive(Debug, Default)]
 pub(crate) struct Store {
     records: BTreeMap<String, Record>,
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -1,7 +1,6 @@
-//! A TCP proxy that cuts, delays, stops and refuses connections when told.
+//! TCP proxy that injects network faults: it closes, delays, stalls, throttles and refuses connections.
 //!
-//! Home-made, because the one ready library for this in Rust has not been
-//! maintained for years and cannot stop one direction of a live connection.
+//! The Rust library for this is unmaintained and can't stall one direction of an open connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,34 +22,34 @@
 
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// What is passed on at once over a slow link: connections that share it take turns.
+/// Read size on a throttled link. It is small so that connections that share the link alternate.
 const SLOW_BUFFER_BYTES: usize = 4 << 10;
 
-/// A direction through the proxy.
+/// Direction of a transfer through the proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// From the one who connects to the one who listens.
+    /// From the connecting side to the listening side.
     ToListener,
-    /// The other way.
+    /// From the listening side to the connecting side.
     ToOpener,
 }
 
-/// What the proxy does with connections.
+/// Faults that are active.
 #[derive(Debug, Clone, Copy, Default)]
 struct Mode {
-    /// Connections in place are ended when this changes.
+    /// A change closes all open connections.
     cuts: u64,
-    /// Connections in place carry nothing more once this has changed.
+    /// After a change, connections that were open before it transfer nothing more.
     silences: u64,
-    /// New connections are refused.
+    /// New connections are closed at once.
     refuses: bool,
-    /// Bytes towards the listener wait.
+    /// Transfers to the listening side stall.
     holds_to_listener: bool,
-    /// Bytes towards the opener wait.
+    /// Transfers to the connecting side stall.
     holds_to_opener: bool,
-    /// Bytes both ways are passed on so much later.
+    /// Delay of transfers in both directions.
     delay: Duration,
-    /// What passes in a second each way, over all connections; none for no limit.
+    /// Bytes per second in each direction, shared by all connections; `None` for no limit.
     bytes_per_s: Option<u32>,
 }
 
@@ -63,16 +62,16 @@
     }
 }
 
-/// One way through the proxy, which all connections share.
+/// State of one direction, shared by all connections.
 #[derive(Debug, Default)]
 struct Lane {
     passed_bytes: AtomicUsize,
-    /// When what is on a slow link has passed.
+    /// When the throttled link will have transferred everything passed so far.
     free_at: Mutex<Option<Instant>>,
 }
 
 impl Lane {
-    /// Counts bytes, and gives when they have passed a link of this rate.
+    /// Counts bytes, and returns when a link of this rate will have transferred them.
     fn pass(&self, bytes: usize, bytes_per_s: Option<u32>) -> Option<Instant> {
         self.passed_bytes.fetch_add(bytes, Ordering::Relaxed);
         let takes = Duration::from_secs(1).mul_f64(bytes as f64 / f64::from(bytes_per_s?));
@@ -83,7 +82,7 @@
     }
 }
 
-/// Both ways through the proxy.
+/// State of both directions.
 #[derive(Debug, Default)]
 struct Lanes {
     to_listener: Lane,
@@ -99,7 +98,7 @@
     }
 }
 
-/// A TCP proxy that cuts, slows down, stops and refuses connections when told.
+/// A TCP proxy that injects network faults.
 #[derive(Debug)]
 pub struct FaultProxy {
     addr: SocketAddr,
@@ -109,45 +108,45 @@
 }
 
 impl FaultProxy {
-    /// Starts a proxy to `upstream` on a free port of loopback.
+    /// Starts a proxy to `upstream` on a free loopback port.
     ///
     /// # Errors
-    /// Fails when no port is free.
+    /// Fails if no port is free.
     pub async fn start(upstream: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
         let addr = listener.local_addr()?;
         let mode = Arc::new(watch::Sender::new(Mode::default()));
         let lanes = Arc::<Lanes>::default();
         let shared = Arc::clone(&mode);
-        let of_relays = Arc::clone(&lanes);
+        let relay_lanes = Arc::clone(&lanes);
         let task = tokio::spawn(async move {
-            while let Ok((opened, _)) = listener.accept().await {
+            while let Ok((inbound, _)) = listener.accept().await {
                 if shared.borrow().refuses {
                     continue;
                 }
-                let lanes = Arc::clone(&of_relays);
-                tokio::spawn(relay(opened, upstream, lanes, shared.subscribe()));
+                let lanes = Arc::clone(&relay_lanes);
+                tokio::spawn(relay(inbound, upstream, lanes, shared.subscribe()));
             }
         });
         Ok(Self { addr, mode, lanes, task })
     }
 
-    /// Where the proxy listens.
+    /// Returns the address on which the proxy listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Ends all connections in place; new ones are taken.
+    /// Closes all open connections. New ones are accepted.
     pub fn cut(&self) {
         self.mode.send_modify(|mode| mode.cuts += 1);
     }
 
-    /// Lets connections in place carry nothing more, and stay open; new ones work.
+    /// Stalls all open connections for good without closing them. New ones work.
     pub fn silence(&self) {
         self.mode.send_modify(|mode| mode.silences += 1);
     }
 
-    /// Ends all connections and refuses new ones until [`Self::heal`].
+    /// Closes all open connections and refuses new ones until [`Self::heal`].
     pub fn sever(&self) {
         self.mode.send_modify(|mode| {
             mode.cuts += 1;
@@ -155,7 +154,7 @@
         });
     }
 
-    /// Holds back what goes one way, on connections that stay open.
+    /// Stalls one direction of all connections without closing them, until [`Self::heal`].
     pub fn hold(&self, direction: Direction) {
         self.mode.send_modify(|mode| match direction {
             Direction::ToListener => mode.holds_to_listener = true,
@@ -163,22 +162,22 @@
         });
     }
 
-    /// Passes bytes on later, both ways.
+    /// Delays transfers in both directions.
     pub fn delay(&self, delay: Duration) {
         self.mode.send_modify(|mode| mode.delay = delay);
     }
 
-    /// Passes on so many bytes a second each way, over all connections together.
+    /// Limits each direction to this rate, shared by all connections.
     pub fn throttle(&self, bytes_per_s: u32) {
         self.mode.send_modify(|mode| mode.bytes_per_s = Some(bytes_per_s));
     }
 
-    /// How many bytes have passed in a direction so far.
+    /// Returns the bytes that have passed in a direction so far.
     pub fn passed_bytes(&self, direction: Direction) -> usize {
         self.lanes.lane(direction).passed_bytes.load(Ordering::Relaxed)
     }
 
-    /// Lets everything pass again at once, also what was held back.
+    /// Clears all faults. Transfers stalled by [`Self::hold`] resume, but not connections stalled by [`Self::silence`].
     pub fn heal(&self) {
         self.mode.send_modify(|mode| {
             mode.delay = Duration::ZERO;
@@ -198,24 +197,24 @@
 }
 
 async fn relay(
-    opened: TcpStream,
+    inbound: TcpStream,
     upstream: SocketAddr,
     lanes: Arc<Lanes>,
     mode: watch::Receiver<Mode>,
 ) {
-    let Ok(reached) = TcpStream::connect(upstream).await else {
+    let Ok(outbound) = TcpStream::connect(upstream).await else {
         return;
     };
-    let _ = opened.set_nodelay(true);
-    let _ = reached.set_nodelay(true);
-    let (from_opener, to_opener) = opened.into_split();
-    let (from_listener, to_listener) = reached.into_split();
+    let _ = inbound.set_nodelay(true);
+    let _ = outbound.set_nodelay(true);
+    let (from_opener, to_opener) = inbound.into_split();
+    let (from_listener, to_listener) = outbound.into_split();
     let cuts = mode.borrow().cuts;
     let forth = pump(from_opener, to_listener, Direction::ToListener, &lanes, mode.clone());
     let back = pump(from_listener, to_opener, Direction::ToOpener, &lanes, mode.clone());
     let mut watched = mode;
     let cut = watched.wait_for(|mode| mode.cuts != cuts);
-    // Whichever ends first ends the whole connection: dropping the halves closes it.
+    // The connection closes as soon as one direction ends, because the halves are dropped.
     tokio::select! {
         () = forth => {}
         () = back => {}
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service's stand-in: it counts what it executes, by key.
+//! Stand-in for a service that isn't a model. It records every call that it executes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -27,26 +27,26 @@
 
 const MAX_BODY_MIB: u64 = 32;
 
-/// One call that was executed.
+/// An executed call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceExecution {
-    /// The path that was called.
+    /// Path of the call.
     pub path: String,
-    /// The body that came.
+    /// Request body.
     pub body: String,
-    /// The request's identity, as the sidecar gave it.
+    /// Request ID that the sidecar sent.
     pub request_id: String,
-    /// The idempotency key, as the sidecar passed it on.
+    /// Idempotency key that the sidecar forwarded.
     pub idempotency_key: String,
 }
 
-/// What the service does with calls.
+/// Faults that the service injects.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceSwitches {
-    /// How long each call takes.
+    /// Delay before each response, in milliseconds.
     pub delay_ms: u64,
-    /// Every call is answered with status 500, after it was executed.
+    /// Whether each call gets status 500 after it was executed.
     pub fail: bool,
 }
 
@@ -57,7 +57,7 @@
     executions: Mutex<Vec<ServiceExecution>>,
 }
 
-/// A plain service's stand-in, serving.
+/// A running stand-in for a service.
 #[derive(Debug)]
 pub struct ServiceStandin {
     shared: Arc<Shared>,
@@ -65,10 +65,10 @@
 }
 
 impl ServiceStandin {
-    /// Starts it on an address; port 0 takes a free one.
+    /// Starts the service on an address; port 0 selects a free port.
     ///
     /// # Errors
-    /// Fails when the address cannot be listened on.
+    /// Fails if the address can't be bound.
     pub async fn start(addr: SocketAddr) -> Result<Self, ServerError> {
         let shared = Arc::new(Shared::default());
         let settings = ServerSettings { addr, ..ServerSettings::default() };
@@ -76,45 +76,45 @@
         Ok(Self { shared, server })
     }
 
-    /// The address as a URL.
+    /// Returns the base URL.
     pub fn url(&self) -> String {
         format!("http://{}", self.server.addr())
     }
 
-    /// Makes each call take this long.
+    /// Sets the delay before each response.
     pub fn set_delay(&self, delay: Duration) {
         let delay_ms = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
         self.shared.switches.lock().delay_ms = delay_ms;
     }
 
-    /// Makes each call fail after it was executed.
+    /// Sets whether each call fails after it was executed.
     pub fn set_fail(&self, fail: bool) {
         self.shared.switches.lock().fail = fail;
     }
 
-    /// What was executed, in order.
+    /// Returns the executed calls in order.
     pub fn executions(&self) -> Vec<ServiceExecution> {
         self.shared.executions.lock().clone()
     }
 
-    /// Stops serving.
+    /// Stops the server.
     pub async fn stop(self) {
         self.server.stop(crate::STOP_LINGER).await;
     }
 }
 
 fn mount(shared: Arc<Shared>) -> Rocket<Build> {
-    rocket::build().manage(shared).mount("/", routes![call, executions, switches, look])
+    rocket::build().manage(shared).mount("/", routes![call, executions, switches, get_any])
 }
 
-/// The headers the service looks at.
-struct Marks {
+/// Request headers that the service records.
+struct RecordedHeaders {
     request_id: String,
     idempotency_key: String,
 }
 
 #[rocket::async_trait]
-impl<'r> FromRequest<'r> for Marks {
+impl<'r> FromRequest<'r> for RecordedHeaders {
     type Error = ();
 
     async fn from_request(request: &'r Request<'_>) -> Outcome<Self, ()> {
@@ -130,7 +130,7 @@
 async fn call(
     shared: &State<Arc<Shared>>,
     path: PathBuf,
-    marks: Marks,
+    recorded: RecordedHeaders,
     body: Data<'_>,
 ) -> Result<Json<ServiceExecution>, Status> {
     let body =
@@ -138,10 +138,10 @@
     let execution = ServiceExecution {
         path: path.display().to_string(),
         body: body.into_inner(),
-        request_id: marks.request_id,
-        idempotency_key: marks.idempotency_key,
+        request_id: recorded.request_id,
+        idempotency_key: recorded.idempotency_key,
     };
-    // Executed from here on, whatever becomes of the answer.
+    // The call counts as executed even if its response is lost.
     shared.executions.lock().push(execution.clone());
     let switches = shared.switches.lock().clone();
     tokio::time::sleep(Duration::from_millis(switches.delay_ms)).await;
@@ -152,7 +152,7 @@
 }
 
 #[get("/<path..>", rank = 10)]
-fn look(path: PathBuf) -> String {
+fn get_any(path: PathBuf) -> String {
     format!("looked at {}", path.display())
 }
 
--- a/crates/standins/src/users_platform/crash_rule.rs
+++ b/crates/standins/src/users_platform/crash_rule.rs
@@ -1,30 +1,31 @@
-//! Requests that end the process that runs them.
+//! Requests that crash the upstream that runs them.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 
-/// Which requests end an upstream's process, and how.
+/// Which requests crash an upstream's process, and how it restarts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CrashRule {
-    /// Requests whose body begins so.
+    /// Prefix of the body of requests that crash the process.
     pub body_prefix: Bytes,
-    /// The chance that one does, from 0 to 1.
+    /// Probability that such a request crashes the process, from 0 to 1.
     pub chance: f64,
-    /// How long after the upstream has begun to run it. At once, no reply is sent; later, the answer
-    /// is under way.
+    /// Time from the start of the request to the crash. If it is zero, no response is sent. Otherwise the response
+    /// can have begun.
     pub after: Duration,
-    /// How long after its end the upstream starts again, at its address and under its id.
+    /// Time from the crash to the restart, which keeps address and ID.
     pub restart_after: Duration,
-    /// How long after that its new start is listed.
+    /// Time from the restart until the new incarnation is listed.
     pub listed_after: Duration,
-    /// Whether its address takes connections all the while, as with a supervisor that holds it: the
-    /// request's own connection alone breaks then.
+    /// Whether the address accepts connections throughout, as if a supervisor held the socket. Then only the
+    /// connection of the request breaks.
     pub keeps_listening: bool,
 }
 
 impl CrashRule {
-    /// Each request whose body begins so ends the process before it replies; it is back after 0.3 s.
+    /// Crashes the process for every request whose body starts with `body_prefix`, before it responds. The process
+    /// restarts after 0.3 s.
     pub fn of(body_prefix: &str) -> Self {
         Self {
             body_prefix: Bytes::from(body_prefix.to_owned()),
@@ -36,8 +37,8 @@
         }
     }
 
-    /// The same, but its address takes connections all the while: that it has ended shows only when
-    /// its new start is listed, so long afterwards.
+    /// Like [`Self::of`], but the address accepts connections throughout. The crash becomes visible only when the
+    /// new incarnation is listed, `listed_after` later.
     pub fn detected_by_listing(body_prefix: &str, listed_after: Duration) -> Self {
         Self {
             restart_after: Duration::ZERO,
--- a/crates/standins/src/users_platform/mod.rs
+++ b/crates/standins/src/users_platform/mod.rs
@@ -1,4 +1,7 @@
-//! The users' platform: its store and its upstreams, as their published pages tell.
+//! Stand-ins for the users' platform: its store and its upstreams, after their published interface.
+//!
+//! `store` serves the rows that `store_state` keeps. `upstream` serves requests as `upstream_behaviour` and
+//! `crash_rule` say, with the responses of `upstream_reply`. `server` is the HTTP server of both.
 
 mod crash_rule;
 mod server;
--- a/crates/standins/src/users_platform/server.rs
+++ b/crates/standins/src/users_platform/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server whose connections a handler can cut, and which can end as a process does.
+//! HTTP server whose handlers can abort connections, and which can stop abruptly like a crashed process.
 
 use std::future::Future;
 use std::io;
@@ -18,10 +18,10 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-/// The body of an answer. An error in it cuts the connection.
+/// Response body. An error in it aborts the connection.
 pub(super) type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// A server on loopback. It ends when dropped.
+/// A server on loopback. It stops when dropped.
 #[derive(Debug)]
 pub(super) struct Server {
     addr: SocketAddr,
@@ -30,10 +30,10 @@
 }
 
 impl Server {
-    /// Serves on a free port. A handler's error cuts the connection without an answer.
+    /// Serves on a free port. An error of the handler aborts the connection without a response.
     ///
     /// # Errors
-    /// Fails when no port can be listened on.
+    /// Fails if no port can be bound.
     pub(super) async fn start<H, F>(handler: H) -> io::Result<Self>
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -42,10 +42,10 @@
         Self::start_at((Ipv4Addr::LOCALHOST, 0).into(), handler).await
     }
 
-    /// Serves at an address.
+    /// Serves on an address.
     ///
     /// # Errors
-    /// Fails when it cannot be listened on.
+    /// Fails if the address can't be bound.
     pub(super) async fn start_at<H, F>(addr: SocketAddr, handler: H) -> io::Result<Self>
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -59,12 +59,12 @@
         Ok(Self { addr, accepting, connections })
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub(super) fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Ends as a process does: nothing listens any more, and all connections are cut.
+    /// Stops like a crashed process: closes the listener and aborts all connections.
     pub(super) async fn end(mut self) {
         self.accepting.shutdown().await;
         self.connections.lock().abort_all();
@@ -80,7 +80,7 @@
         let service = service_fn(handler.clone());
         let serving = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         connections.lock().spawn(async move {
-            // A connection that was cut on purpose ends in an error.
+            // Aborted connections end with an error by design.
             let _ = serving.await;
         });
     }
--- a/crates/standins/src/users_platform/store.rs
+++ b/crates/standins/src/users_platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store.
+//! HTTP interface of the platform's store.
 
 use std::collections::HashMap;
 use std::future::pending;
@@ -31,7 +31,7 @@
 use super::store_state::StoreFault;
 use super::store_state::StoreState;
 
-/// How often the store has come back from a copy.
+/// Number of times that the store was restored from a copy.
 const STORE_ERA: HeaderName = HeaderName::from_static("store-era");
 
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     started: Instant,
 }
 
-/// The platform's store, on loopback. It ends when dropped.
+/// A stand-in for the platform's store, on loopback. It stops when dropped.
 #[derive(Debug)]
 pub struct StoreStandin {
     addr: SocketAddr,
@@ -49,12 +49,12 @@
     _server: Server,
 }
 
-/// Writes rows to a store.
+/// A handle that writes rows to a store.
 #[derive(Debug, Clone)]
 pub struct StoreWriter(Arc<Shared>);
 
 impl StoreWriter {
-    /// Writes a row, as an operator or an upstream would.
+    /// Writes a row on behalf of an operator or an upstream.
     pub fn put(&self, table: &str, key: &str, value: Value) {
         self.0.state.lock().put(table, key, value);
         self.0.changed.notify_waiters();
@@ -62,10 +62,10 @@
 }
 
 impl StoreStandin {
-    /// Starts an empty store.
+    /// Starts an empty store on a free port.
     ///
     /// # Errors
-    /// Fails when no port can be listened on.
+    /// Fails if no port can be bound.
     pub async fn start() -> io::Result<Self> {
         let shared = Arc::new(Shared {
             state: Mutex::default(),
@@ -77,28 +77,28 @@
         Ok(Self { addr: server.addr(), shared, _server: server })
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Writes a row, as an operator or an upstream would.
+    /// Writes a row on behalf of an operator or an upstream.
     pub fn put(&self, table: &str, key: &str, value: Value) {
         self.writer().put(table, key, value);
     }
 
-    /// Writes rows for upstreams that list themselves.
+    /// Returns a handle with which upstreams list themselves.
     pub fn writer(&self) -> StoreWriter {
         StoreWriter(Arc::clone(&self.shared))
     }
 
-    /// Writes a row as another writer may: its value is not encoded, and goes out as it stands.
+    /// Writes a row whose raw value is returned as is, without encoding. It can be malformed.
     pub fn put_raw(&self, table: &str, key: &str, raw: &str) {
         self.shared.state.lock().put_raw(table, key, raw);
         self.shared.changed.notify_waiters();
     }
 
-    /// Writes a row that calls cannot change from now on.
+    /// Writes a row that calls can no longer change: their writes succeed without effect.
     pub fn pin(&self, table: &str, key: &str, value: Value) {
         let mut state = self.shared.state.lock();
         state.put(table, key, value);
@@ -107,60 +107,60 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// Removes a row.
+    /// Removes a row on behalf of an operator or an upstream.
     pub fn remove(&self, table: &str, key: &str) {
         self.shared.state.lock().remove(table, key);
         self.shared.changed.notify_waiters();
     }
 
-    /// The value of a row.
+    /// Returns the value of a row.
     pub fn get(&self, table: &str, key: &str) -> Option<Value> {
         self.shared.state.lock().get(table, key)
     }
 
-    /// The values of all rows of a table.
+    /// Returns the values of all rows of a table.
     pub fn table(&self, table: &str) -> Vec<Value> {
         self.shared.state.lock().values(table)
     }
 
-    /// Brings about a fault, or ends it.
+    /// Sets or clears a fault.
     pub fn set_fault(&self, fault: Option<StoreFault>) {
         self.shared.state.lock().fault = fault;
         self.shared.changed.notify_waiters();
     }
 
-    /// Drops the history of changes.
+    /// Drops the history of changes, so that followers have to read the tables anew.
     pub fn clear_history(&self) {
         self.shared.state.lock().clear_history();
         self.shared.changed.notify_waiters();
     }
 
-    /// What it holds now.
+    /// Copies the current contents.
     pub fn copy(&self) -> StoreCopy {
         self.shared.state.lock().copy()
     }
 
-    /// Comes back from a copy: all that was written since is gone. Calls that wait are cut off. Gives
-    /// what operators and upstreams have lost.
+    /// Restores the store from a copy: later writes are lost, and pending calls are aborted. Returns the lost
+    /// writes of operators and upstreams.
     pub fn restore_from(&self, copy: StoreCopy) -> LostWrites {
         let lost = self.shared.state.lock().restore_from(copy);
         self.shared.changed.notify_waiters();
         lost
     }
 
-    /// Tells another era than it is in, or again that one.
+    /// Reports another era than the actual one; `None` reports the actual one again.
     pub fn override_era(&self, era: Option<u64>) {
-        self.shared.state.lock().told_era = era;
+        self.shared.state.lock().era_override = era;
         self.shared.changed.notify_waiters();
     }
 
-    /// Operators and upstreams write again what was lost.
+    /// Repeats the lost writes of operators and upstreams.
     pub fn replay_writes(&self, lost: LostWrites) {
         self.shared.state.lock().replay_writes(lost);
         self.shared.changed.notify_waiters();
     }
 
-    /// The paths and queries of all calls so far.
+    /// Returns the paths and queries of all calls so far.
     pub fn calls(&self) -> Vec<String> {
         self.shared.state.lock().calls.clone()
     }
@@ -168,19 +168,19 @@
 
 async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> io::Result<Response<Body>> {
     let era = shared.state.lock().era();
-    let mut answer = answer_to(&shared, request).await?;
+    let mut answer = handle_call(&shared, request).await?;
     if shared.state.lock().era() != era {
-        return Err(went_away());
+        return Err(store_unavailable());
     }
-    let era = shared.state.lock().told_era.unwrap_or(era);
+    let era = shared.state.lock().era_override.unwrap_or(era);
     answer.headers_mut().insert(STORE_ERA, HeaderValue::from(era));
     Ok(answer)
 }
 
-async fn answer_to(shared: &Shared, request: Request<Incoming>) -> io::Result<Response<Body>> {
+async fn handle_call(shared: &Shared, request: Request<Incoming>) -> io::Result<Response<Body>> {
     let (head, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let query = query_of(&head.uri);
+    let query = parse_query(&head.uri);
     let called = head.uri.path_and_query().map(ToString::to_string).unwrap_or_default();
     shared.state.lock().calls.push(called);
     let table = query.get("table").cloned().unwrap_or_default();
@@ -205,7 +205,7 @@
     }
 }
 
-/// What a fault makes of a call; none when there is no fault.
+/// Applies the active fault to a call. Returns `None` if the call is to be handled normally.
 async fn fault(shared: &Shared, table: &str, body: &Bytes) -> Option<io::Result<Response<Body>>> {
     let fault = shared.state.lock().fault.clone()?;
     match fault {
@@ -248,12 +248,12 @@
         let _ = tokio::time::timeout_at(until, changed).await;
         let state = shared.state.lock();
         if state.fault.is_some() || state.era() != era {
-            return Err(went_away());
+            return Err(store_unavailable());
         }
     }
 }
 
-fn went_away() -> io::Error {
+fn store_unavailable() -> io::Error {
     io::Error::other("the store went away")
 }
 
@@ -280,7 +280,7 @@
     response
 }
 
-fn query_of(uri: &Uri) -> HashMap<String, String> {
+fn parse_query(uri: &Uri) -> HashMap<String, String> {
     let pairs = uri.query().unwrap_or_default().split('&');
     let pairs = pairs.filter_map(|pair| pair.split_once('='));
     pairs.map(|(name, value)| (name.to_owned(), value.to_owned())).collect()
--- a/crates/standins/src/users_platform/store_state.rs
+++ b/crates/standins/src/users_platform/store_state.rs
@@ -1,4 +1,4 @@
-//! The rows of the store, their history and its faults.
+//! Rows of the store, their history, and the store's faults.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,31 +8,31 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// What goes wrong with calls to the store.
+/// Fault that affects calls to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Every call is answered with this status; nothing is done.
+    /// Every call gets this status and has no effect.
     Status(u16),
-    /// No call is answered.
+    /// Calls get no response.
     Silent,
-    /// Writes are done; their answers are lost.
+    /// Writes are applied, but their responses are lost.
     LoseWriteAnswers,
-    /// Calls that concern this table are not answered.
+    /// Calls on this table get no response.
     SilentTable(String),
 }
 
 #[derive(Debug, Clone)]
 struct Stored {
     value: Option<Value>,
-    /// What another writer put there in place of a value.
+    /// Raw text that is returned in place of the encoded value.
     raw: Option<String>,
     version: u64,
 }
 
-/// A row's table and its key there.
+/// Table and key of a row.
 type RowKey = (String, String);
 
-/// What the store holds at some moment; by default nothing.
+/// Contents of the store at some time; empty by default.
 #[derive(Debug, Clone, Default)]
 pub struct StoreCopy {
     rows: BTreeMap<RowKey, Stored>,
@@ -40,11 +40,11 @@
     outside_writes: usize,
 }
 
-/// Rows that operators and upstreams had written, and that were lost.
+/// Writes of operators and upstreams that a restore has lost.
 #[derive(Debug, Clone, Default)]
 pub struct LostWrites(Vec<OutsideWrite>);
 
-/// A row that an operator or an upstream has written or removed.
+/// A write or removal by an operator or an upstream.
 #[derive(Debug, Clone)]
 struct OutsideWrite {
     key: RowKey,
@@ -52,21 +52,21 @@
     raw: Option<String>,
 }
 
-/// The rows of the store: of those that were removed the last version is kept.
+/// Rows of the store. For a removed row, the version of the removal is kept.
 #[derive(Debug, Default)]
 pub(super) struct StoreState {
     rows: BTreeMap<RowKey, Stored>,
     version: u64,
-    /// How often it has come back from a copy.
+    /// Number of times that the store was restored from a copy.
     era: u64,
-    /// What operators and upstreams have written, in order.
+    /// Writes of operators and upstreams, in order.
     outside_writes: Vec<OutsideWrite>,
     history_from: u64,
-    /// What it tells in place of its era.
-    pub(super) told_era: Option<u64>,
+    /// Era to report in place of the actual one.
+    pub(super) era_override: Option<u64>,
     pub(super) fault: Option<StoreFault>,
     pub(super) calls: Vec<String>,
-    /// Rows that calls cannot change: they are answered, and nothing is written.
+    /// Rows that calls can't change: their writes succeed without effect.
     pub(super) pinned: BTreeSet<RowKey>,
 }
 
@@ -84,7 +84,7 @@
         StoreCopy { rows: self.rows.clone(), version: self.version, outside_writes }
     }
 
-    /// Comes back from a copy: what was written since is gone, and versions are given out again.
+    /// Restores a copy: later writes are lost, and their version numbers are assigned again.
     pub(super) fn restore_from(&mut self, copy: StoreCopy) -> LostWrites {
         self.rows = copy.rows;
         self.version = copy.version;
@@ -93,7 +93,7 @@
         LostWrites(self.outside_writes.split_off(kept))
     }
 
-    /// Operators and upstreams write again what was lost, the last write of each row.
+    /// Repeats the last lost write of each row.
     pub(super) fn replay_writes(&mut self, lost: LostWrites) {
         let last: BTreeMap<_, _> = lost.0.into_iter().map(|w| (w.key.clone(), w)).collect();
         last.into_values().for_each(|write| self.write(write));
@@ -103,7 +103,7 @@
         self.write(OutsideWrite { key: row_key(table, key), value: Some(value), raw: None });
     }
 
-    /// Writes a row as another writer may: its value goes out as it stands.
+    /// Writes a row whose raw value is returned as is.
     pub(super) fn put_raw(&mut self, table: &str, key: &str, raw: &str) {
         let (key, raw) = (row_key(table, key), Some(raw.to_owned()));
         self.write(OutsideWrite { key, value: Some(Value::Null), raw });
@@ -124,25 +124,26 @@
         self.rows.get(&row_key(table, key))?.value.clone()
     }
 
-    /// The values of all rows of a table.
+    /// Returns the values of all rows of a table.
     pub(super) fn values(&self, table: &str) -> Vec<Value> {
         let of_table = self.rows.iter().filter(|((t, _), _)| t == table);
         of_table.filter_map(|(_, row)| row.value.clone()).collect()
     }
 
-    /// Drops the history: whoever follows must read anew.
+    /// Drops the history, so that followers have to read the tables anew.
     pub(super) fn clear_history(&mut self) {
         self.history_from = self.version + 1;
         self.rows.retain(|_, row| row.value.is_some());
     }
 
-    /// The rows of a table, as a read answers them.
+    /// Returns the rows of a table in wire form.
     pub(super) fn read(&self, table: &str, from: &str) -> Vec<Value> {
         let of_table = self.rows.iter().filter(|((t, key), _)| t == table && key.as_str() >= from);
         of_table.filter(|(_, row)| row.value.is_some()).map(|(key, row)| wire(key, row)).collect()
     }
 
-    /// The changes of a table after a version; none when the history is gone, or there is no such version.
+    /// Returns the changes of a table after a version, or `None` if the history no longer has them or the version
+    /// doesn't exist.
     pub(super) fn changes(&self, table: &str, after: u64) -> Option<Vec<Value>> {
         if after + 1 < self.history_from || after > self.version {
             return None;
@@ -153,7 +154,7 @@
         Some(changed.into_iter().map(|(key, row)| wire(key, row)).collect())
     }
 
-    /// Carries out a transaction; says whether its conditions held.
+    /// Executes a transaction and returns whether its conditions held.
     pub(super) fn transact(&mut self, transaction: &Value) -> bool {
         let list = |name: &str| transaction[name].as_array().cloned().unwrap_or_default();
         let key_of = |entry: &Value| {
--- a/crates/standins/src/users_platform/upstream.rs
+++ b/crates/standins/src/users_platform/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream of the platform.
+//! An upstream of the users' platform.
 
 use std::collections::VecDeque;
 use std::future::pending;
@@ -30,109 +30,109 @@
 use super::StoreWriter;
 use super::server::Body;
 use super::server::Server;
-use super::upstream_reply::Events;
-use super::upstream_reply::Pace;
+use super::upstream_reply::EventInterval;
+use super::upstream_reply::EventStream;
 use super::upstream_reply::cut_body;
 use super::upstream_reply::not_executed;
 use super::upstream_reply::plain;
 use super::upstream_reply::sealed;
 use super::upstream_reply::streamed;
+use super::upstream_reply::streamed_with_load;
 use super::upstream_reply::unsealed;
-use super::upstream_reply::with_load;
 
-/// A request that reached an upstream.
+/// A received request.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Its method, path and query.
+    /// Method, path and query.
     pub line: String,
-    /// Its headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
-    /// When it came.
+    /// Time of arrival.
     pub at: Instant,
     /// Whether the upstream ran it.
     pub is_run: bool,
-    /// Whether it was refused with a time to come back.
+    /// Whether it was rejected with a delay before the next attempt.
     pub asked_for_rest: bool,
 }
 
 impl Arrival {
-    /// A header's value, empty when it is not there.
+    /// Returns a header's value, or an empty string if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
     }
 }
 
-/// An end of an upstream's process by a request.
+/// A crash of an upstream's process, caused by a request.
 #[derive(Debug, Clone)]
 pub struct Crash {
-    /// The body of the request.
+    /// Body of the request.
     pub body: Bytes,
-    /// When it was.
+    /// Time of the crash.
     pub at: Instant,
 }
 
-/// What an upstream does that ends and starts again.
+/// How an upstream crashes, restarts and lists itself.
 #[derive(Debug, Clone)]
-struct Ending {
+struct CrashSetup {
     rule: CrashRule,
-    /// Where it lists its starts, and its service.
+    /// Store in which its incarnations are listed.
     list: StoreWriter,
     service: String,
-    /// When its present start was, by its own clock.
+    /// Start time of the current incarnation by the upstream's clock, in milliseconds since 1970.
     born_ms: u64,
 }
 
 #[derive(Debug)]
 struct State {
-    usual: Behaviour,
-    /// What it says of itself in each answer.
+    default_behaviour: Behaviour,
+    /// Headers that are added to each response.
     response_headers: HeaderMap,
     next: VecDeque<Behaviour>,
     arrivals: Vec<Arrival>,
     runs: usize,
     running: u32,
     abandoned: usize,
-    ending: Option<Ending>,
+    crash_setup: Option<CrashSetup>,
     ends: Vec<Crash>,
 }
 
 #[derive(Debug)]
 struct Process {
     instance: String,
-    /// That of its first start: all others are there as well.
+    /// Address of the first incarnation, which all later ones reuse.
     addr: OnceLock<SocketAddr>,
     state: Arc<Mutex<State>>,
-    /// None after it has ended, until it has started again.
+    /// `None` between a crash and the restart.
     server: Mutex<Option<Server>>,
 }
 
-/// An upstream of the platform, on loopback. It ends when dropped.
+/// A stand-in for an upstream, on loopback. It stops when dropped.
 #[derive(Debug)]
 pub struct UpstreamStandin {
     process: Arc<Process>,
 }
 
-/// The first start of an upstream that tells when it was, and the time between two.
+/// Reported start time of the first incarnation, and the difference between two successive ones.
 const FIRST_BORN_MS: u64 = 1_760_000_000_000;
 const BORN_STEP_MS: u64 = 1_000;
 
 impl UpstreamStandin {
-    /// Starts an upstream that does the same with each request.
+    /// Starts an upstream on a free port that handles each request in the same way.
     ///
     /// # Errors
-    /// Fails when no port can be listened on.
-    pub async fn start(instance: &str, usual: Behaviour) -> io::Result<Self> {
+    /// Fails if no port can be bound.
+    pub async fn start(instance: &str, default_behaviour: Behaviour) -> io::Result<Self> {
         let state = State {
-            usual,
+            default_behaviour,
             response_headers: HeaderMap::new(),
             next: VecDeque::new(),
             arrivals: Vec::new(),
             runs: 0,
             running: 0,
             abandoned: 0,
-            ending: None,
+            crash_setup: None,
             ends: Vec::new(),
         };
         let state = Arc::new(Mutex::new(state));
@@ -143,69 +143,69 @@
         Ok(Self { process })
     }
 
-    /// From now on some requests end it. Each of its starts is listed in the store.
+    /// Makes requests that match the rule crash it. Each incarnation is listed in the store.
     pub fn crash_on(&self, rule: CrashRule, list: StoreWriter, service: &str) {
         let service = service.to_owned();
-        let ending = Ending { rule, list, service, born_ms: FIRST_BORN_MS };
-        self.process.state.lock().ending = Some(ending);
-        self.process.list_start();
+        let crash_setup = CrashSetup { rule, list, service, born_ms: FIRST_BORN_MS };
+        self.process.state.lock().crash_setup = Some(crash_setup);
+        self.process.list_incarnation();
     }
 
-    /// When requests have ended it.
+    /// Returns the crashes so far.
     pub fn ends(&self) -> Vec<Crash> {
         self.process.state.lock().ends.clone()
     }
 
-    /// The id of this start of it.
+    /// Returns the instance ID.
     pub fn instance(&self) -> &str {
         &self.process.instance
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub fn addr(&self) -> SocketAddr {
         self.process.addr()
     }
 
-    /// The entry that it would write into the list.
+    /// Returns the row with which it lists itself.
     pub fn entry(&self, service: &str, zone: &str, version: &str, state: &str) -> Value {
         self.process.entry(service, zone, version, state)
     }
 
-    /// Does these with the next requests, one each; then as usual.
+    /// Queues behaviours for the next requests, one each. Later requests get the default behaviour.
     pub fn then(&self, behaviours: impl IntoIterator<Item = Behaviour>) {
         self.process.state.lock().next.extend(behaviours);
     }
 
-    /// Does as usual from now on, whatever was to come.
+    /// Clears the queue, so that the default behaviour applies again.
     pub fn clear_queued_behaviours(&self) {
         self.process.state.lock().next.clear();
     }
 
-    /// From now on it says this of itself in each answer, whatever it answers.
+    /// Adds a header to each later response.
     ///
     /// # Panics
-    /// Panics when `value` cannot stand in a header.
+    /// Panics if `value` is not a valid header value.
     pub fn set_response_header(&self, name: &'static str, value: &str) {
         let value = HeaderValue::from_str(value).expect("a header's value");
         self.process.state.lock().response_headers.insert(name, value);
     }
 
-    /// From now on it does not say that any more.
+    /// Stops adding a header.
     pub fn remove_response_header(&self, name: &'static str) {
         self.process.state.lock().response_headers.remove(name);
     }
 
-    /// The requests that reached it.
+    /// Returns the received requests in order.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.process.state.lock().arrivals.clone()
     }
 
-    /// How many requests it ran.
+    /// Returns the number of requests that it ran.
     pub fn runs(&self) -> usize {
         self.process.state.lock().runs
     }
 
-    /// How many requests were abandoned before their answer had ended.
+    /// Returns the number of requests that were abandoned before their response ended.
     pub fn abandoned(&self) -> usize {
         self.process.state.lock().abandoned
     }
@@ -221,7 +221,7 @@
         Ok(())
     }
 
-    /// Where it listens; any free port before it first has.
+    /// Returns the address on which it listens, or a wildcard port on loopback before the first start.
     fn addr(&self) -> SocketAddr {
         self.addr.get().copied().unwrap_or_else(|| (Ipv4Addr::LOCALHOST, 0).into())
     }
@@ -233,18 +233,18 @@
         })
     }
 
-    /// Lists the present start.
-    fn list_start(&self) {
-        let Some(ending) = self.state.lock().ending.clone() else {
+    /// Lists the current incarnation.
+    fn list_incarnation(&self) {
+        let Some(crash_setup) = self.state.lock().crash_setup.clone() else {
             return;
         };
-        let mut entry = self.entry(&ending.service, "zone-1", "v1", "ready");
-        entry["born"] = json!(ending.born_ms);
-        ending.list.put("servers", &self.instance, entry);
+        let mut entry = self.entry(&crash_setup.service, "zone-1", "v1", "ready");
+        entry["born"] = json!(crash_setup.born_ms);
+        crash_setup.list.put("servers", &self.instance, entry);
     }
 
-    /// Ends by a request, and starts again after a while.
-    fn end_by(self: Arc<Self>, rule: CrashRule, body: Bytes) -> BoxFuture<'static, ()> {
+    /// Crashes because of a request, and restarts as the rule says.
+    fn crash(self: Arc<Self>, rule: CrashRule, body: Bytes) -> BoxFuture<'static, ()> {
         Box::pin(async move {
             tokio::time::sleep(rule.after).await;
             if rule.keeps_listening {
@@ -257,27 +257,28 @@
                 server.end().await;
             }
             tokio::time::sleep(rule.restart_after).await;
-            if let Some(ending) = &mut self.state.lock().ending {
-                ending.born_ms += BORN_STEP_MS;
+            if let Some(crash_setup) = &mut self.state.lock().crash_setup {
+                crash_setup.born_ms += BORN_STEP_MS;
             }
-            // Its address may be in use for a moment, by a connection that is being closed.
+            // The address can be in use for a moment by a connection that is being closed.
             while !rule.keeps_listening && self.start().await.is_err() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             tokio::time::sleep(rule.listed_after).await;
-            self.list_start();
+            self.list_incarnation();
         })
     }
 
-    /// The rule by which a request ends the process, if it does.
+    /// Returns the rule if this request crashes the process.
     fn crash_rule(&self, body: &Bytes) -> Option<CrashRule> {
-        let rule = self.state.lock().ending.as_ref().map(|ending| ending.rule.clone())?;
+        let rule =
+            self.state.lock().crash_setup.as_ref().map(|crash_setup| crash_setup.rule.clone())?;
         let is_meant = body.starts_with(&rule.body_prefix);
         (is_meant && rand::random_bool(rule.chance)).then_some(rule)
     }
 }
 
-/// A request in progress. Counts it as abandoned unless it is finished.
+/// A running request. Dropping it counts the request as abandoned unless it is finished.
 pub(super) struct Running {
     state: Arc<Mutex<State>>,
     pub(super) is_finished: bool,
@@ -289,7 +290,7 @@
         Self { state, is_finished: false }
     }
 
-    /// Requests in progress, this one included.
+    /// Returns the number of running requests, this one included.
     pub(super) fn count(&self) -> u32 {
         self.state.lock().running
     }
@@ -320,11 +321,11 @@
     let at = Instant::now();
     let mut arrival =
         Arrival { line, headers: head.headers, body, at, is_run: false, asked_for_rest: false };
-    let behaviour = take_next(&state, &mut arrival, &process.instance);
+    let behaviour = record_arrival(&state, &mut arrival, &process.instance);
     let mut running = Running::new(state);
     if let Some(rule) = process.crash_rule(&arrival.body).filter(|_| arrival.is_run) {
         let (is_at_once, keeps_listening) = (rule.after.is_zero(), rule.keeps_listening);
-        tokio::spawn(Arc::clone(&process).end_by(rule, arrival.body.clone()));
+        tokio::spawn(Arc::clone(&process).crash(rule, arrival.body.clone()));
         if keeps_listening {
             return Err(io::Error::other("the process has ended"));
         }
@@ -337,15 +338,17 @@
     let response = match behaviour {
         Behaviour::Stream { events, pause, confidence, truncate_after } => {
             let from = arrival.header("last-event-id").parse().unwrap_or(0) + 1;
-            let pace = Pace { idle_pause: pause, pause_per_request: Duration::ZERO };
-            let events = Events { next: from, last: events, pace, truncate_after, running };
+            let interval = EventInterval { idle_pause: pause, pause_per_request: Duration::ZERO };
+            let events =
+                EventStream { next: from, last: events, interval, truncate_after, running };
             return Ok(streamed(id, confidence, events).await);
         }
         Behaviour::Batch { events, idle_pause, pause_per_request } => {
             let from = arrival.header("last-event-id").parse().unwrap_or(0) + 1;
-            let pace = Pace { idle_pause, pause_per_request };
-            let events = Events { next: from, last: events, pace, truncate_after: None, running };
-            return Ok(with_load(id, events).await);
+            let interval = EventInterval { idle_pause, pause_per_request };
+            let events =
+                EventStream { next: from, last: events, interval, truncate_after: None, running };
+            return Ok(streamed_with_load(id, events).await);
         }
         Behaviour::Hang => pending().await,
         Behaviour::CutBeforeReply => return Err(io::Error::other("cut")),
@@ -368,15 +371,14 @@
     Ok(response)
 }
 
-/// Notes a request and says what is done with it. One that is meant for another upstream
-/// is not run.
-fn take_next(state: &Mutex<State>, arrival: &mut Arrival, instance: &str) -> Behaviour {
+/// Records a request and returns its behaviour. A request for another upstream is not run.
+fn record_arrival(state: &Mutex<State>, arrival: &mut Arrival, instance: &str) -> Behaviour {
     let mut state = state.lock();
     let expected = arrival.header("expect-instance");
     let behaviour = if !expected.is_empty() && expected != instance {
         Behaviour::Misdirected
     } else {
-        state.next.pop_front().unwrap_or_else(|| state.usual.clone())
+        state.next.pop_front().unwrap_or_else(|| state.default_behaviour.clone())
     };
     arrival.is_run = !matches!(behaviour, Behaviour::NotExecuted | Behaviour::Misdirected);
     arrival.asked_for_rest =
--- a/crates/standins/src/users_platform/upstream_behaviour.rs
+++ b/crates/standins/src/users_platform/upstream_behaviour.rs
@@ -1,68 +1,68 @@
-//! What an upstream does with a request.
+//! Configurable behaviour of an upstream.
 
 use std::time::Duration;
 
-/// What an upstream does with a request.
+/// How an upstream handles a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Answers whole, with this body, after a while.
+    /// Sends a complete response with this body.
     Answer {
-        /// The body.
+        /// Response body.
         body: String,
-        /// The time it works.
+        /// Time before the response.
         after: Duration,
     },
-    /// Answers whole with the id of the request, after a while.
+    /// Sends a complete response that contains the request's ID.
     Echo {
-        /// The time it works.
+        /// Time before the response.
         after: Duration,
     },
-    /// Answers with an event stream.
+    /// Responds with an event stream.
     Stream {
-        /// The number of the last event; they are numbered from 1.
+        /// Number of the last event; the first is 1.
         events: u64,
-        /// The time before each event.
+        /// Time before each event.
         pause: Duration,
-        /// The model's opinion of the answer.
+        /// Confidence that the model reports for its response.
         confidence: Option<u8>,
-        /// After this event, half of the next one is sent and the connection cut.
+        /// After this event, half of the next one is sent and the connection aborted.
         truncate_after: Option<u64>,
     },
-    /// Answers with an event stream, as an engine that works on all its requests in one
-    /// batch: the more there are, the longer each event takes. Tells its load.
+    /// Responds with an event stream, like an engine that runs all requests in one batch: the time for each event
+    /// grows with the number of requests. Reports its load.
     Batch {
-        /// The number of the last event; they are numbered from 1.
+        /// Number of the last event; the first is 1.
         events: u64,
-        /// The time before each event that does not depend on the load.
+        /// Time before each event, independent of the load.
         idle_pause: Duration,
-        /// The time that each request in the batch adds to it.
+        /// Additional time before each event for each request in the batch.
         pause_per_request: Duration,
     },
-    /// Runs the request and fails with its own 500.
+    /// Runs the request and responds with status 500.
     Fail,
-    /// Does not run it, and says so.
+    /// Responds that the request was not executed.
     NotExecuted,
-    /// Says that it is another upstream.
+    /// Responds that the request is for another upstream.
     Misdirected,
-    /// Answers with the id of another request.
+    /// Responds with the ID of another request.
     WrongId,
-    /// Answers with a success that carries no seal.
+    /// Sends a successful response without a seal.
     NoSeal,
-    /// Sends the head and half of the body, then cuts the connection.
+    /// Sends the headers and half of the body, then aborts the connection.
     CutBody,
-    /// Runs the request and cuts the connection without an answer.
+    /// Runs the request and aborts the connection without a response.
     CutBeforeReply,
-    /// Runs the request and never answers.
+    /// Runs the request and never responds.
     Hang,
 }
 
 impl Behaviour {
-    /// Answers whole, at once.
+    /// Sends a complete response with this body, without delay.
     pub fn answer(body: &str) -> Self {
         Self::Answer { body: body.to_owned(), after: Duration::ZERO }
     }
 
-    /// Answers with a stream of so many events, without pauses.
+    /// Streams this many events without pauses.
     pub fn stream(events: u64) -> Self {
         Self::Stream { events, pause: Duration::ZERO, confidence: None, truncate_after: None }
     }
--- a/crates/standins/src/users_platform/upstream_reply.rs
+++ b/crates/standins/src/users_platform/upstream_reply.rs
@@ -1,4 +1,4 @@
-//! The replies of an upstream, good and bad.
+//! Responses of an upstream, valid and invalid.
 
 use std::io;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use super::server::Body;
 use super::upstream::Running;
 
-/// A whole reply without the platform's headers.
+/// Builds a complete response without the platform's headers.
 pub(super) fn plain(status: StatusCode, body: &str) -> Response<Body> {
     let body = Full::new(Bytes::from(body.to_owned()));
     let mut response = Response::new(body.map_err(|never| match never {}).boxed_unsync());
@@ -24,7 +24,7 @@
     response
 }
 
-/// A whole reply that repeats the id of its request and carries the proof.
+/// Builds a complete response with the request's ID and a seal.
 pub(super) fn sealed(status: StatusCode, id: &str, body: &str) -> Response<Body> {
     let mut response = plain(status, body);
     let headers = response.headers_mut();
@@ -35,21 +35,21 @@
     response
 }
 
-/// A promise that the request has not run.
+/// Builds a response that declares the request not executed.
 pub(super) fn not_executed() -> Response<Body> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "full");
     response.headers_mut().insert("not-executed", HeaderValue::from_static("1"));
     response
 }
 
-/// A success that lacks the upstream's proof.
+/// Builds a successful response without a seal.
 pub(super) fn unsealed(id: &str) -> Response<Body> {
     let mut response = sealed(StatusCode::OK, id, "unsealed");
     response.headers_mut().remove("response-seal");
     response
 }
 
-/// Half of an answer, after which the connection is cut.
+/// Builds a response whose body breaks off halfway with an aborted connection.
 pub(super) fn cut_body(id: &str) -> Response<Body> {
     let pieces = [
         Ok(Frame::data(Bytes::from_static(b"half of an ans"))),
@@ -60,35 +60,35 @@
     response
 }
 
-/// The time before each event of a stream.
+/// Time before each event of a stream.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Pace {
+pub(super) struct EventInterval {
     pub(super) idle_pause: Duration,
     pub(super) pause_per_request: Duration,
 }
 
-impl Pace {
+impl EventInterval {
     fn pause(self, running: &Running) -> Duration {
         self.idle_pause + self.pause_per_request * running.count()
     }
 }
 
-/// The events of a stream that are still to come.
-pub(super) struct Events {
+/// Remaining events of a stream.
+pub(super) struct EventStream {
     pub(super) next: u64,
     pub(super) last: u64,
-    pub(super) pace: Pace,
+    pub(super) interval: EventInterval,
     pub(super) truncate_after: Option<u64>,
     pub(super) running: Running,
 }
 
-impl Events {
+impl EventStream {
     async fn next(mut self) -> io::Result<Option<(Frame<Bytes>, Self)>> {
         if self.next > self.last {
             self.running.is_finished = true;
             return Ok(None);
         }
-        tokio::time::sleep(self.pace.pause(&self.running)).await;
+        tokio::time::sleep(self.interval.pause(&self.running)).await;
         let number = self.next;
         match self.truncate_after {
             Some(last) if number == last + 1 => {
@@ -105,22 +105,26 @@
     }
 }
 
-/// As engines do, sends the head together with the first event.
-pub(super) async fn streamed(id: &str, confidence: Option<u8>, events: Events) -> Response<Body> {
-    tokio::time::sleep(events.pace.pause(&events.running)).await;
+/// Streams events. Like an engine, sends the headers together with the first event.
+pub(super) async fn streamed(
+    id: &str,
+    confidence: Option<u8>,
+    events: EventStream,
+) -> Response<Body> {
+    tokio::time::sleep(events.interval.pause(&events.running)).await;
     let mut response = sealed(StatusCode::OK, id, "");
     let headers = response.headers_mut();
     headers.insert("content-type", HeaderValue::from_static("text/event-stream"));
     if let Some(confidence) = confidence {
         headers.insert("confidence", HeaderValue::from(u16::from(confidence)));
     }
-    let frames = stream::try_unfold(events, Events::next);
+    let frames = stream::try_unfold(events, EventStream::next);
     *response.body_mut() = StreamBody::new(frames).boxed_unsync();
     response
 }
 
-/// The same; the head tells the load: requests running, waiting, and places.
-pub(super) async fn with_load(id: &str, events: Events) -> Response<Body> {
+/// Like [`streamed`], with a header that reports the load: running requests, queued requests, and slots.
+pub(super) async fn streamed_with_load(id: &str, events: EventStream) -> Response<Body> {
     let load = format!("{},0,{}", events.running.count(), u32::MAX);
     let mut response = streamed(id, None, events).await;
     if let Ok(load) = HeaderValue::from_str(&load) {
