--- a/crates/standins/src/engine/state.rs
+++ b/crates/standins/src/engine/state.rs
@@ -98,8 +98,8 @@
         loop {
             let freed = self.freed.notified();
             let max_batch = self.switches.lock().max_batch;
-            let take = |running| (running < max_batch).then_some(running + 1);
-            let taken = self.running.fetch_update(Ordering::SeqCst, Ordering::SeqCst, take);
+            let claim_slot = |running| (running < max_batch).then_some(running + 1);
+            let taken = self.running.fetch_update(Ordering::SeqCst, Ordering::SeqCst, claim_slot);
             if taken.is_ok() || !generation.is_running() {
                 if taken.is_err() {
                     self.running.fetch_add(1, Ordering::SeqCst);
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for the systems around stallhoist, and a fault-injecting TCP proxy. Used by tests and the local mode.
 //!
 //! The stand-ins implement every external interface on one machine: the platform (table service, host list,
-//! object store, weight store, rater), model engines, services that aren't models, and the users' platform. Each
+//! object store, rater), model engines, services that aren't models, and the users' platform. Each
 //! records what it executed, so that tests can check how often a request ran, and each can inject failures.
 
 pub mod engine;
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -76,7 +76,7 @@
         Some(("engine", matches)) => {
             let text = matches.get_one::<String>("switches").cloned().unwrap_or_default();
             let switches: EngineSwitches = serde_json::from_str(&text).unwrap_or_else(|error| {
-                eprintln!("stallhoist-standin: the switches are not right: {error}");
+                eprintln!("stallhoist-standin: invalid switches: {error}");
                 std::process::exit(2)
             });
             let engine = EngineStandin::start(addr(matches), switches).await?;
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -210,14 +210,15 @@
     let (from_opener, to_opener) = inbound.into_split();
     let (from_listener, to_listener) = outbound.into_split();
     let cuts = mode.borrow().cuts;
-    let forth = pump(from_opener, to_listener, Direction::ToListener, &lanes, mode.clone());
-    let back = pump(from_listener, to_opener, Direction::ToOpener, &lanes, mode.clone());
+    let to_server_pump =
+        pump(from_opener, to_listener, Direction::ToListener, &lanes, mode.clone());
+    let to_client_pump = pump(from_listener, to_opener, Direction::ToOpener, &lanes, mode.clone());
     let mut watched = mode;
     let cut = watched.wait_for(|mode| mode.cuts != cuts);
     // The connection closes as soon as one direction ends, because the halves are dropped.
     tokio::select! {
-        () = forth => {}
-        () = back => {}
+        () = to_server_pump => {}
+        () = to_client_pump => {}
         _ = cut => {}
     }
 }
--- a/crates/standins/src/users_platform/store.rs
+++ b/crates/standins/src/users_platform/store.rs
@@ -219,7 +219,7 @@
             let transaction = serde_json::from_slice(body).unwrap_or_default();
             shared.state.lock().transact(&transaction);
             shared.changed.notify_waiters();
-            Some(Err(io::Error::other("the answer is lost")))
+            Some(Err(io::Error::other("response dropped by a fault")))
         }
         StoreFault::SilentTable(_) | StoreFault::LoseWriteAnswers => None,
     }
@@ -254,7 +254,7 @@
 }
 
 fn store_unavailable() -> io::Error {
-    io::Error::other("the store went away")
+    io::Error::other("the store became unavailable during the call")
 }
 
 fn transact(shared: &Shared, body: &Bytes) -> io::Result<Response<Body>> {
--- a/crates/standins/src/users_platform/store_state.rs
+++ b/crates/standins/src/users_platform/store_state.rs
@@ -126,8 +126,8 @@
 
     /// Returns the values of all rows of a table.
     pub(super) fn values(&self, table: &str) -> Vec<Value> {
-        let of_table = self.rows.iter().filter(|((t, _), _)| t == table);
-        of_table.filter_map(|(_, row)| row.value.clone()).collect()
+        let rows_of_table = self.rows.iter().filter(|((t, _), _)| t == table);
+        rows_of_table.filter_map(|(_, row)| row.value.clone()).collect()
     }
 
     /// Drops the history, so that followers have to read the tables anew.
@@ -138,8 +138,12 @@
 
     /// Returns the rows of a table in wire form.
     pub(super) fn read(&self, table: &str, from: &str) -> Vec<Value> {
-        let of_table = self.rows.iter().filter(|((t, key), _)| t == table && key.as_str() >= from);
-        of_table.filter(|(_, row)| row.value.is_some()).map(|(key, row)| wire(key, row)).collect()
+        let rows_of_table =
+            self.rows.iter().filter(|((t, key), _)| t == table && key.as_str() >= from);
+        rows_of_table
+            .filter(|(_, row)| row.value.is_some())
+            .map(|(key, row)| wire(key, row))
+            .collect()
     }
 
     /// Returns the changes of a table after a version, or `None` if the history no longer has them or the version
--- a/crates/standins/src/users_platform/upstream.rs
+++ b/crates/standins/src/users_platform/upstream.rs
@@ -273,8 +273,8 @@
     fn crash_rule(&self, body: &Bytes) -> Option<CrashRule> {
         let rule =
             self.state.lock().crash_setup.as_ref().map(|crash_setup| crash_setup.rule.clone())?;
-        let is_meant = body.starts_with(&rule.body_prefix);
-        (is_meant && rand::random_bool(rule.chance)).then_some(rule)
+        let matches_prefix = body.starts_with(&rule.body_prefix);
+        (matches_prefix && rand::random_bool(rule.chance)).then_some(rule)
     }
 }
 
@@ -305,7 +305,7 @@
 }
 
 async fn handle(process: Weak<Process>, request: Request<Incoming>) -> io::Result<Response<Body>> {
-    let process = process.upgrade().ok_or_else(|| io::Error::other("the upstream has ended"))?;
+    let process = process.upgrade().ok_or_else(|| io::Error::other("the upstream has stopped"))?;
     let state = Arc::clone(&process.state);
     let mut response = answer(process, request).await?;
     response.headers_mut().extend(state.lock().response_headers.clone());
@@ -324,12 +324,12 @@
     let behaviour = record_arrival(&state, &mut arrival, &process.instance);
     let mut running = Running::new(state);
     if let Some(rule) = process.crash_rule(&arrival.body).filter(|_| arrival.is_run) {
-        let (is_at_once, keeps_listening) = (rule.after.is_zero(), rule.keeps_listening);
+        let (is_immediate, keeps_listening) = (rule.after.is_zero(), rule.keeps_listening);
         tokio::spawn(Arc::clone(&process).crash(rule, arrival.body.clone()));
         if keeps_listening {
-            return Err(io::Error::other("the process has ended"));
+            return Err(io::Error::other("the process has crashed"));
         }
-        if is_at_once {
+        if is_immediate {
             return pending().await;
         }
     }
@@ -351,7 +351,9 @@
             return Ok(streamed_with_load(id, events).await);
         }
         Behaviour::Hang => pending().await,
-        Behaviour::CutBeforeReply => return Err(io::Error::other("cut")),
+        Behaviour::CutBeforeReply => {
+            return Err(io::Error::other("connection aborted before the response"));
+        }
         Behaviour::CutBody => return Ok(cut_body(id)),
         Behaviour::Answer { body, after } => {
             tokio::time::sleep(after).await;
--- a/crates/standins/src/users_platform/upstream_reply.rs
+++ b/crates/standins/src/users_platform/upstream_reply.rs
@@ -53,7 +53,7 @@
 pub(super) fn cut_body(id: &str) -> Response<Body> {
     let pieces = [
         Ok(Frame::data(Bytes::from_static(b"half of an ans"))),
-        Err(io::Error::other("cut in the middle")),
+        Err(io::Error::other("connection aborted within the body")),
     ];
     let mut response = sealed(StatusCode::OK, id, "");
     *response.body_mut() = StreamBody::new(stream::iter(pieces)).boxed_unsync();
@@ -95,7 +95,7 @@
                 self.next += 1;
                 Ok(Some((Frame::data(Bytes::from(format!("id: {number}\nda"))), self)))
             }
-            Some(last) if number > last + 1 => Err(io::Error::other("torn")),
+            Some(last) if number > last + 1 => Err(io::Error::other("stream truncated")),
             _ => {
                 self.next += 1;
                 let event = format!("id: {number}\ndata: event {number}\n\n");
