--- a/benches/cold.rs
+++ b/benches/cold.rs
@@ -13,10 +13,10 @@
 use stallhoist_measure::Report;
 
 use crate::cold_world::BOUND_PER_S;
-use crate::cold_world::Figures;
+use crate::cold_world::DEFAULTS;
+use crate::cold_world::RunResult;
 use crate::cold_world::Setting;
-use crate::cold_world::USUAL;
-use crate::cold_world::Way;
+use crate::cold_world::Strategy;
 use crate::cold_world::run;
 
 /// Of each setting and way; fewer where each of many entries has to know all others.
@@ -29,37 +29,44 @@
 }
 
 /// Plays all seeds.
-fn play(setting: &Setting, way: Way) -> Vec<Figures> {
-    seeded_runs::play(seeds(setting), |seed| run(setting, way, seed))
+fn run_seeds(setting: &Setting, strategy: Strategy) -> Vec<RunResult> {
+    seeded_runs::run_seeds(seeds(setting), |seed| run(setting, strategy, seed))
 }
 
-const WAYS: [Way; 5] = [Way::Free, Way::Among(3), Way::Among(9), Way::Among(u32::MAX), Way::Oracle];
+const STRATEGIES: [Strategy; 5] = [
+    Strategy::Free,
+    Strategy::Among(3),
+    Strategy::Among(9),
+    Strategy::Among(u32::MAX),
+    Strategy::Oracle,
+];
 
-fn name_of(way: Way) -> String {
-    match way {
-        Way::Free => "not bounded".to_owned(),
-        Way::Among(u32::MAX) => "all entries".to_owned(),
-        Way::Among(owners) => format!("{owners} entries"),
-        Way::Oracle => "oracle".to_owned(),
+fn name_of(strategy: Strategy) -> String {
+    match strategy {
+        Strategy::Free => "not bounded".to_owned(),
+        Strategy::Among(u32::MAX) => "all entries".to_owned(),
+        Strategy::Among(owners) => format!("{owners} entries"),
+        Strategy::Oracle => "oracle".to_owned(),
     }
 }
 
 fn rows(report: &mut Report, name: &str, setting: &Setting) {
-    let sum = |all: &[Figures], of: fn(&Figures) -> usize| all.iter().map(of).sum::<usize>() as f64;
-    let oracle = sum(&play(setting, Way::Oracle), |figures| figures.at_cold);
-    for way in WAYS {
-        let all = play(setting, way);
-        let busiest = all.iter().map(|figures| figures.busiest).max().unwrap_or(0);
-        let broken = all.iter().filter(|figures| figures.busiest > BOUND_PER_S).count();
-        let refused = sum(&all, |figures| figures.refused);
-        eprintln!("{name}: {way:?}");
+    let sum =
+        |all: &[RunResult], of: fn(&RunResult) -> usize| all.iter().map(of).sum::<usize>() as f64;
+    let oracle = sum(&run_seeds(setting, Strategy::Oracle), |result| result.at_cold);
+    for strategy in STRATEGIES {
+        let all = run_seeds(setting, strategy);
+        let peak_per_s = all.iter().map(|result| result.peak_per_s).max().unwrap_or(0);
+        let broken = all.iter().filter(|result| result.peak_per_s > BOUND_PER_S).count();
+        let refused = sum(&all, |result| result.refused);
+        eprintln!("{name}: {strategy:?}");
         report.row([
             name.to_owned(),
-            name_of(way),
-            busiest.to_string(),
+            name_of(strategy),
+            peak_per_s.to_string(),
             format!("{broken} of {}", all.len()),
-            format!("{:.2}", sum(&all, |figures| figures.at_cold) / oracle),
-            format!("{:.1}", 100.0 * refused / sum(&all, |figures| figures.requests)),
+            format!("{:.2}", sum(&all, |result| result.at_cold) / oracle),
+            format!("{:.1}", 100.0 * refused / sum(&all, |result| result.requests)),
         ]);
     }
 }
@@ -74,28 +81,28 @@
         "refused, %",
     ];
     let mut report = Report::new("cold", &headings);
-    let large = Setting { per_s: 2_900.0, ..USUAL };
+    let large = Setting { per_s: 2_900.0, ..DEFAULTS };
     for (name, setting) in [
-        ("21 entries, a third of 40 cold", USUAL),
-        ("1 entry", Setting { entries: 1, ..USUAL }),
-        ("3 entries", Setting { entries: 3, ..USUAL }),
-        ("103 entries", Setting { entries: 103, ..USUAL }),
-        ("300 entries", Setting { entries: 300, ..USUAL }),
+        ("21 entries, a third of 40 cold", DEFAULTS),
+        ("1 entry", Setting { entries: 1, ..DEFAULTS }),
+        ("3 entries", Setting { entries: 3, ..DEFAULTS }),
+        ("103 entries", Setting { entries: 103, ..DEFAULTS }),
+        ("300 entries", Setting { entries: 300, ..DEFAULTS }),
         ("300 entries, 2,900 a second", Setting { entries: 300, ..large }),
         ("1,000 entries, 2,900 a second", Setting { entries: 1_000, ..large }),
-        ("one cold", Setting { cold: 1, ..USUAL }),
-        ("two thirds cold", Setting { cold: 27, ..USUAL }),
-        ("all cold", Setting { cold: 40, ..USUAL }),
-        ("all of 6 cold", Setting { cold: 6, upstreams: 6, ..USUAL }),
-        ("all of 6 cold, 300 entries", Setting { entries: 300, cold: 6, upstreams: 6, ..USUAL }),
-        ("uneven, 4 to 1", Setting { uneven: 4.0, ..USUAL }),
-        ("burst of 3 at the return", Setting { burst: 3.0, ..USUAL }),
-        ("news up to 0.05 s late", Setting { news_s: 0.05, ..USUAL }),
-        ("news up to 3 s late", Setting { news_s: 3.0, ..USUAL }),
-        ("three quarters join", Setting { joining: 43, entries: 36, ..USUAL }),
+        ("one cold", Setting { cold: 1, ..DEFAULTS }),
+        ("two thirds cold", Setting { cold: 27, ..DEFAULTS }),
+        ("all cold", Setting { cold: 40, ..DEFAULTS }),
+        ("all of 6 cold", Setting { cold: 6, upstreams: 6, ..DEFAULTS }),
+        ("all of 6 cold, 300 entries", Setting { entries: 300, cold: 6, upstreams: 6, ..DEFAULTS }),
+        ("uneven, 4 to 1", Setting { skew: 4.0, ..DEFAULTS }),
+        ("burst of 3 at the return", Setting { burst: 3.0, ..DEFAULTS }),
+        ("news up to 0.05 s late", Setting { update_delay_s: 0.05, ..DEFAULTS }),
+        ("news up to 3 s late", Setting { update_delay_s: 3.0, ..DEFAULTS }),
+        ("three quarters join", Setting { joining: 43, entries: 36, ..DEFAULTS }),
         (
             "three quarters join, news up to 3 s late",
-            Setting { joining: 43, entries: 36, news_s: 3.0, burst: 3.0, ..USUAL },
+            Setting { joining: 43, entries: 36, update_delay_s: 3.0, burst: 3.0, ..DEFAULTS },
         ),
     ] {
         rows(&mut report, name, &setting);
--- a/benches/ends.rs
+++ b/benches/ends.rs
@@ -17,29 +17,29 @@
 use stallhoist_core::RequestFingerprint;
 use stallhoist_measure::Report;
 
-use crate::ends_setting::Figures;
-use crate::ends_setting::Joining;
+use crate::ends_setting::Attribution;
+use crate::ends_setting::CrashDetection;
+use crate::ends_setting::DEFAULTS;
 use crate::ends_setting::Policy;
+use crate::ends_setting::RunResult;
 use crate::ends_setting::Setting;
-use crate::ends_setting::Showing;
-use crate::ends_setting::USUAL;
 use crate::ends_world::World;
 
 fn row(report: &mut Report, name: &str, setting: Setting) {
     const SEEDS: u64 = 3;
     let all: Vec<_> = (0..SEEDS).map(|seed| World::new(setting, seed).run()).collect();
-    let sum = |of: fn(&Figures) -> usize| all.iter().map(of).sum::<usize>() as f64;
+    let sum = |of: fn(&RunResult) -> usize| all.iter().map(of).sum::<usize>() as f64;
     let bodies = (SEEDS as usize * setting.bodies) as f64;
-    let streams = sum(|figures| figures.streams);
-    let bytes = all.iter().map(|figures| figures.bytes).sum::<u64>() as f64;
+    let streams = sum(|result| result.streams);
+    let bytes = all.iter().map(|result| result.bytes).sum::<u64>() as f64;
     eprintln!("{name}: {:?}", setting.policy);
     report.row([
         name.to_owned(),
         format!("{:?}", setting.policy),
-        format!("{:.1}", sum(|figures| figures.ends) / bodies),
-        format!("{:.1}", sum(|figures| figures.late_sends) / bodies),
-        format!("{:.2}", 100.0 * sum(|figures| figures.lost) / streams),
-        format!("{:.3}", 100.0 * sum(|figures| figures.held_back) / streams),
+        format!("{:.1}", sum(|result| result.ends) / bodies),
+        format!("{:.1}", sum(|result| result.late_sends) / bodies),
+        format!("{:.2}", 100.0 * sum(|result| result.lost) / streams),
+        format!("{:.3}", 100.0 * sum(|result| result.held_back) / streams),
         format!("{:.1}", bytes / 1e3 / (SEEDS as f64) / setting.entries as f64),
     ]);
 }
@@ -57,47 +57,50 @@
     let mut report = Report::new("ends", &headings);
     use Policy::*;
     for policy in [Nothing, Alone, ByWorkspace, Kept, Oracle] {
-        row(&mut report, "usual", Setting { policy, ..USUAL });
+        row(&mut report, "usual", Setting { policy, ..DEFAULTS });
     }
     for (name, setting) in [
-        ("1 entry", Setting { entries: 1, ..USUAL }),
-        ("103 entries", Setting { entries: 103, ..USUAL }),
-        ("300 entries", Setting { entries: 300, ..USUAL }),
-        ("160 upstreams", Setting { upstreams: 160, entries: 103, ..USUAL }),
-        ("3,000 upstreams", Setting { upstreams: 3_000, entries: 30, beside: 2, ..USUAL }),
-        ("1 body", Setting { bodies: 1, ..USUAL }),
-        ("20 bodies", Setting { bodies: 20, ..USUAL }),
-        ("10 a second", Setting { per_s: 10.0, ..USUAL }),
-        ("100 a second", Setting { per_s: 100.0, ..USUAL }),
-        ("1 beside", Setting { beside: 1, ..USUAL }),
-        ("32 beside", Setting { beside: 32, ..USUAL }),
-        ("chance 0.5", Setting { chance: 0.5, ..USUAL }),
-        ("chance 0.1", Setting { chance: 0.1, ..USUAL }),
-        ("back after 20 s", Setting { back_s: 20.0, ..USUAL }),
-        ("news after 0.05 s", Setting { news_s: 0.05, ..USUAL }),
-        ("news after 1 s", Setting { news_s: 1.0, ..USUAL }),
-        ("news after 3 s", Setting { news_s: 3.0, ..USUAL }),
-        ("30 in 100 lost", Setting { lost: 0.3, ..USUAL }),
+        ("1 entry", Setting { entries: 1, ..DEFAULTS }),
+        ("103 entries", Setting { entries: 103, ..DEFAULTS }),
+        ("300 entries", Setting { entries: 300, ..DEFAULTS }),
+        ("160 upstreams", Setting { upstreams: 160, entries: 103, ..DEFAULTS }),
+        (
+            "3,000 upstreams",
+            Setting { upstreams: 3_000, entries: 30, streams_per_upstream: 2, ..DEFAULTS },
+        ),
+        ("1 body", Setting { bodies: 1, ..DEFAULTS }),
+        ("20 bodies", Setting { bodies: 20, ..DEFAULTS }),
+        ("10 a second", Setting { per_s: 10.0, ..DEFAULTS }),
+        ("100 a second", Setting { per_s: 100.0, ..DEFAULTS }),
+        ("1 beside", Setting { streams_per_upstream: 1, ..DEFAULTS }),
+        ("32 beside", Setting { streams_per_upstream: 32, ..DEFAULTS }),
+        ("chance 0.5", Setting { crash_probability: 0.5, ..DEFAULTS }),
+        ("chance 0.1", Setting { crash_probability: 0.1, ..DEFAULTS }),
+        ("back after 20 s", Setting { restart_s: 20.0, ..DEFAULTS }),
+        ("news after 0.05 s", Setting { update_delay_s: 0.05, ..DEFAULTS }),
+        ("news after 1 s", Setting { update_delay_s: 1.0, ..DEFAULTS }),
+        ("news after 3 s", Setting { update_delay_s: 3.0, ..DEFAULTS }),
+        ("30 in 100 lost", Setting { lost: 0.3, ..DEFAULTS }),
     ] {
         row(&mut report, name, setting);
     }
-    for (joining, late, within_s) in [
-        (Joining::Never, 0.5, 0.3),
-        (Joining::Never, 1.0, 0.3),
-        (Joining::Here, 0.5, 0.3),
-        (Joining::Here, 0.5, 2.0),
-        (Joining::Here, 1.0, 0.3),
-        (Joining::Here, 1.0, 2.0),
-        (Joining::Here, 1.0, 5.0),
-        (Joining::Among, 0.5, 0.3),
-        (Joining::Among, 0.5, 2.0),
-        (Joining::Among, 1.0, 0.3),
-        (Joining::Among, 1.0, 2.0),
-        (Joining::Among, 1.0, 5.0),
+    for (attribution, late, within_s) in [
+        (Attribution::Never, 0.5, 0.3),
+        (Attribution::Never, 1.0, 0.3),
+        (Attribution::Here, 0.5, 0.3),
+        (Attribution::Here, 0.5, 2.0),
+        (Attribution::Here, 1.0, 0.3),
+        (Attribution::Here, 1.0, 2.0),
+        (Attribution::Here, 1.0, 5.0),
+        (Attribution::Among, 0.5, 0.3),
+        (Attribution::Among, 0.5, 2.0),
+        (Attribution::Among, 1.0, 0.3),
+        (Attribution::Among, 1.0, 2.0),
+        (Attribution::Among, 1.0, 5.0),
     ] {
-        let name = format!("{late} shown within {within_s} s, {joining:?}");
-        let showing = Showing { late, within_s, joining };
-        row(&mut report, &name, Setting { showing, ..USUAL });
+        let name = format!("{late} shown within {within_s} s, {attribution:?}");
+        let detection = CrashDetection { late, within_s, attribution };
+        row(&mut report, &name, Setting { detection, ..DEFAULTS });
     }
     report.finish();
     fingerprints();
--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -12,13 +12,14 @@
 
 use stallhoist_measure::Report;
 
-use crate::limits_world::Figures;
+use crate::limits_world::DEFAULTS;
+use crate::limits_world::RunResult;
 use crate::limits_world::Setting;
-use crate::limits_world::USUAL;
-use crate::limits_world::Way;
+use crate::limits_world::Strategy;
 use crate::limits_world::run;
 
-const WAYS: [Way; 4] = [Way::Alone, Way::Parts, Way::Turns, Way::Oracle];
+const STRATEGIES: [Strategy; 4] =
+    [Strategy::Alone, Strategy::Parts, Strategy::Turns, Strategy::Oracle];
 
 /// Of each setting and way; fewer where each of many entries has to know all others.
 fn seeds(setting: &Setting) -> u64 {
@@ -30,26 +31,28 @@
 }
 
 /// Plays all seeds.
-fn play(setting: &Setting, way: Way) -> Vec<Figures> {
-    seeded_runs::play(seeds(setting), |seed| run(setting, way, seed))
+fn run_seeds(setting: &Setting, strategy: Strategy) -> Vec<RunResult> {
+    seeded_runs::run_seeds(seeds(setting), |seed| run(setting, strategy, seed))
 }
 
 fn rows(report: &mut Report, name: &str, setting: &Setting) {
-    let sum = |all: &[Figures], of: fn(&Figures) -> usize| all.iter().map(of).sum::<usize>() as f64;
-    let oracle = sum(&play(setting, Way::Oracle), |figures| figures.at_limited);
-    for way in WAYS {
-        let all = play(setting, way);
-        let most = all.iter().map(|figures| figures.most).max().unwrap_or(0);
-        let broken = all.iter().filter(|figures| figures.most as f64 > setting.bound()).count();
-        let refused = sum(&all, |figures| figures.refused);
-        eprintln!("{name}: {way:?}");
+    let sum =
+        |all: &[RunResult], of: fn(&RunResult) -> usize| all.iter().map(of).sum::<usize>() as f64;
+    let oracle = sum(&run_seeds(setting, Strategy::Oracle), |result| result.at_limited);
+    for strategy in STRATEGIES {
+        let all = run_seeds(setting, strategy);
+        let peak_per_window = all.iter().map(|result| result.peak_per_window).max().unwrap_or(0);
+        let broken =
+            all.iter().filter(|result| result.peak_per_window as f64 > setting.bound()).count();
+        let refused = sum(&all, |result| result.refused);
+        eprintln!("{name}: {strategy:?}");
         report.row([
             name.to_owned(),
-            format!("{way:?}"),
-            format!("{most} of {:.1}", setting.bound()),
+            format!("{strategy:?}"),
+            format!("{peak_per_window} of {:.1}", setting.bound()),
             format!("{broken} of {}", all.len()),
-            format!("{:.2}", sum(&all, |figures| figures.at_limited) / oracle),
-            format!("{:.1}", 100.0 * refused / sum(&all, |figures| figures.requests)),
+            format!("{:.2}", sum(&all, |result| result.at_limited) / oracle),
+            format!("{:.1}", 100.0 * refused / sum(&all, |result| result.requests)),
         ]);
     }
 }
@@ -64,22 +67,22 @@
         "refused, %",
     ];
     let mut report = Report::new("limits", &headings);
-    let large = Setting { per_s: 2_900.0, ..USUAL };
+    let large = Setting { per_s: 2_900.0, ..DEFAULTS };
     for (name, setting) in [
-        ("21 entries, 4 of 40 name 2.2", USUAL),
-        ("1 entry", Setting { entries: 1, ..USUAL }),
-        ("3 entries", Setting { entries: 3, ..USUAL }),
-        ("103 entries", Setting { entries: 103, ..USUAL }),
-        ("300 entries", Setting { entries: 300, ..USUAL }),
+        ("21 entries, 4 of 40 name 2.2", DEFAULTS),
+        ("1 entry", Setting { entries: 1, ..DEFAULTS }),
+        ("3 entries", Setting { entries: 3, ..DEFAULTS }),
+        ("103 entries", Setting { entries: 103, ..DEFAULTS }),
+        ("300 entries", Setting { entries: 300, ..DEFAULTS }),
         ("300 entries, 2,900 a second", Setting { entries: 300, ..large }),
         ("1,000 entries, 2,900 a second", Setting { entries: 1_000, ..large }),
-        ("0.3 a second", Setting { limit_per_s: 0.3, ..USUAL }),
-        ("0.3 a second, 300 entries", Setting { limit_per_s: 0.3, entries: 300, ..USUAL }),
-        ("20 a second", Setting { limit_per_s: 20.0, ..USUAL }),
-        ("20 a second, 300 entries", Setting { limit_per_s: 20.0, entries: 300, ..USUAL }),
+        ("0.3 a second", Setting { limit_per_s: 0.3, ..DEFAULTS }),
+        ("0.3 a second, 300 entries", Setting { limit_per_s: 0.3, entries: 300, ..DEFAULTS }),
+        ("20 a second", Setting { limit_per_s: 20.0, ..DEFAULTS }),
+        ("20 a second, 300 entries", Setting { limit_per_s: 20.0, entries: 300, ..DEFAULTS }),
         ("100 a second, 300 entries", Setting { limit_per_s: 100.0, entries: 300, ..large }),
-        ("all of 6 name 2.2", Setting { limited: 6, upstreams: 6, ..USUAL }),
-        ("uneven, 4 to 1", Setting { uneven: 4.0, ..USUAL }),
+        ("all of 6 name 2.2", Setting { limited: 6, upstreams: 6, ..DEFAULTS }),
+        ("uneven, 4 to 1", Setting { skew: 4.0, ..DEFAULTS }),
     ] {
         rows(&mut report, name, &setting);
     }
--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -323,7 +323,7 @@
     fn note_end(&mut self, id: usize) {
         if let Some((entry, at, _)) = self.sent_by.remove(&id) {
             self.in_flight[entry][at] -= 1;
-            self.knowledge[entry].ended(at);
+            self.knowledge[entry].request_finished(at);
         }
     }
 
--- a/benches/support/ends_decisions.rs
+++ b/benches/support/ends_decisions.rs
@@ -9,7 +9,7 @@
 
 use super::Event;
 use super::Request;
-use super::TELL_EVERY_S;
+use super::UPDATE_INTERVAL_S;
 use super::World;
 use super::seconds;
 use crate::ends_setting::Policy;
@@ -20,7 +20,7 @@
 
 impl World {
     /// What may be done with a request: whether it is sent, and whether apart from others.
-    pub(super) fn allows(&mut self, number: usize) -> Option<bool> {
+    pub(super) fn decide(&mut self, number: usize) -> Option<bool> {
         let request = self.requests[number];
         match self.setting.policy {
             Policy::Nothing => Some(false),
@@ -30,15 +30,15 @@
             }
             Policy::ByWorkspace => {
                 let known = self.ends.iter().filter_map(|ends| ends.get(2)).min();
-                let heard = known.map(|at| at.after(seconds(self.setting.news_s)));
+                let heard = known.map(|at| at.after(seconds(self.setting.update_delay_s)));
                 let is_held = request.workspace == 0 && heard.is_some_and(|at| self.now >= at);
                 (!is_held).then_some(false)
             }
             Policy::Kept | Policy::Alone => {
-                match self.books[request.entry].verdict(self.now, request.print) {
+                match self.trackers[request.entry].verdict(self.now, request.fingerprint) {
                     Disposition::Free => Some(false),
                     Disposition::Suspect => Some(true),
-                    Disposition::HeldBack { .. } => request.is_trying.then_some(true),
+                    Disposition::HeldBack { .. } => request.is_trial.then_some(true),
                     Disposition::MayTry => self.claim(number).then_some(true),
                 }
             }
@@ -47,38 +47,38 @@
 
     /// Asks the store whether a request may be tried again.
     fn claim(&mut self, number: usize) -> bool {
-        let Request { print, entry, attempts, .. } = self.requests[number];
+        let Request { fingerprint, entry, attempts, .. } = self.requests[number];
         if attempts > 0 {
             return false;
         }
-        let Some(change) = self.books[entry].begin_trial(self.now, print) else {
+        let Some(change) = self.trackers[entry].begin_trial(self.now, fingerprint) else {
             return false;
         };
-        let is_agreed = self.commit(print, change.expected, change.record);
-        self.requests[number].is_trying = is_agreed;
+        let is_agreed = self.commit(fingerprint, change.expected, change.record);
+        self.requests[number].is_trial = is_agreed;
         if !is_agreed {
-            self.books[entry].end_trial(self.now, print);
+            self.trackers[entry].end_trial(self.now, fingerprint);
         }
         is_agreed
     }
 
     fn commit(
         &mut self,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         expected: Option<StoreVersion>,
         record: Option<FatalRecord>,
     ) -> bool {
-        if self.rows.get(&print).map(|(version, _)| *version) != expected {
+        if self.rows.get(&fingerprint).map(|(version, _)| *version) != expected {
             return false;
         }
         self.version += 1;
         let row = record.map(|record| (StoreVersion::of(self.version), record));
         match row {
-            Some(row) => self.rows.insert(print, row),
-            None => self.rows.remove(&print),
+            Some(row) => self.rows.insert(fingerprint, row),
+            None => self.rows.remove(&fingerprint),
         };
         for entry in 0..self.setting.entries {
-            self.add(self.setting.news_s, Event::Stored(entry, print, row));
+            self.add(self.setting.update_delay_s, Event::Stored(entry, fingerprint, row));
         }
         true
     }
@@ -86,13 +86,13 @@
     pub(super) fn write(&mut self) {
         if self.setting.policy == Policy::Kept {
             for entry in 0..WRITERS.min(self.setting.entries) {
-                let mut changes = self.books[entry].changes(self.now, SETTLED);
-                changes.sort_unstable_by_key(|(print, _)| *print);
-                for (print, change) in changes {
-                    self.commit(print, change.expected, change.record);
+                let mut changes = self.trackers[entry].changes(self.now, SETTLED);
+                changes.sort_unstable_by_key(|(fingerprint, _)| *fingerprint);
+                for (fingerprint, change) in changes {
+                    self.commit(fingerprint, change.expected, change.record);
                 }
             }
         }
-        self.add(TELL_EVERY_S, Event::Writers);
+        self.add(UPDATE_INTERVAL_S, Event::StoreWrites);
     }
 }
--- a/benches/support/ends_setting.rs
+++ b/benches/support/ends_setting.rs
@@ -12,7 +12,7 @@
 
 /// What becomes of an answer that broke off at an upstream whose end does not show at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Joining {
+pub(crate) enum Attribution {
     /// It is forgotten: a connection was cut.
     Never,
     /// Its entry remembers it until it learns itself that the upstream has ended.
@@ -23,12 +23,12 @@
 
 /// How the ends of upstreams show.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Showing {
+pub(crate) struct CrashDetection {
     /// The share of them that does not show at once, since the upstream listens again at once.
     pub(crate) late: f64,
     /// Each entry learns of such an end at some time until then, in seconds.
     pub(crate) within_s: f64,
-    pub(crate) joining: Joining,
+    pub(crate) attribution: Attribution,
 }
 
 /// What is played.
@@ -39,32 +39,32 @@
     pub(crate) upstreams: usize,
     pub(crate) bodies: usize,
     pub(crate) per_s: f64,
-    pub(crate) beside: usize,
-    pub(crate) chance: f64,
-    pub(crate) back_s: f64,
-    pub(crate) news_s: f64,
+    pub(crate) streams_per_upstream: usize,
+    pub(crate) crash_probability: f64,
+    pub(crate) restart_s: f64,
+    pub(crate) update_delay_s: f64,
     pub(crate) lost: f64,
-    pub(crate) showing: Showing,
+    pub(crate) detection: CrashDetection,
 }
 
 /// From which each row of the table differs in one thing or two.
-pub(crate) const USUAL: Setting = Setting {
+pub(crate) const DEFAULTS: Setting = Setting {
     policy: Policy::Kept,
     entries: 7,
     upstreams: 12,
     bodies: 3,
     per_s: 2.0,
-    beside: 8,
-    chance: 1.0,
-    back_s: 2.0,
-    news_s: 0.25,
+    streams_per_upstream: 8,
+    crash_probability: 1.0,
+    restart_s: 2.0,
+    update_delay_s: 0.25,
     lost: 0.0,
-    showing: Showing { late: 0.0, within_s: 0.0, joining: Joining::Among },
+    detection: CrashDetection { late: 0.0, within_s: 0.0, attribution: Attribution::Among },
 };
 
 /// What came of it.
 #[derive(Debug, Default)]
-pub(crate) struct Figures {
+pub(crate) struct RunResult {
     pub(crate) ends: usize,
     pub(crate) late_sends: usize,
     pub(crate) streams: usize,
--- a/benches/support/limits_world.rs
+++ b/benches/support/limits_world.rs
@@ -14,8 +14,8 @@
 use crate::seeded_runs::at;
 use crate::seeded_runs::draw_weighted;
 use crate::seeded_runs::hosts;
+use crate::seeded_runs::incarnations;
 use crate::seeded_runs::next_arrival_s;
-use crate::seeded_runs::starts;
 use crate::seeded_runs::weight;
 
 /// The bound by the platform's page: what may come in a window.
@@ -24,18 +24,18 @@
 const SLACK: f64 = 5.0;
 
 /// When the limits are named, and how long they are played; each entry hears of them late.
-const NAMED_S: f64 = 3.0;
-const LASTS_S: f64 = 20.0;
-const NEWS_S: f64 = 0.5;
+const REPORTED_S: f64 = 3.0;
+const DURATION_S: f64 = 20.0;
+const UPDATE_DELAY_S: f64 = 0.5;
 
 /// One request in a hundred is held up on its way.
-const HELD_UP_SHARE: f64 = 0.01;
-const HELD_UP_S: f64 = 0.3;
-const ON_THE_WAY_S: f64 = 0.001;
+const DELAYED_RATIO: f64 = 0.01;
+const EXTRA_DELAY_S: f64 = 0.3;
+const TRANSIT_S: f64 = 0.001;
 
 /// How a limit is kept.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Way {
+pub(crate) enum Strategy {
     /// Each entry keeps to it by itself.
     Alone,
     /// Each to its part, by its rank.
@@ -57,11 +57,11 @@
     /// Requests a second, at all entries.
     pub(crate) per_s: f64,
     /// A third of the entries gets so many times the requests of the others.
-    pub(crate) uneven: f64,
+    pub(crate) skew: f64,
 }
 
-pub(crate) const USUAL: Setting =
-    Setting { entries: 21, upstreams: 40, limited: 4, limit_per_s: 2.2, per_s: 278.0, uneven: 1.0 };
+pub(crate) const DEFAULTS: Setting =
+    Setting { entries: 21, upstreams: 40, limited: 4, limit_per_s: 2.2, per_s: 278.0, skew: 1.0 };
 
 impl Setting {
     /// What may come to one upstream in a window.
@@ -72,9 +72,9 @@
 
 /// What came of a run.
 #[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct Figures {
+pub(crate) struct RunResult {
     /// The most requests in a window at one limited upstream.
-    pub(crate) most: usize,
+    pub(crate) peak_per_window: usize,
     /// Requests at limited upstreams.
     pub(crate) at_limited: usize,
     /// Requests that found no place, of all.
@@ -86,79 +86,79 @@
     limits: NamedLimits,
     fleet: Fleet,
     weight: f64,
-    hears_s: f64,
-    has_heard: bool,
+    learns_s: f64,
+    has_learned: bool,
 }
 
 struct World<'a> {
     setting: &'a Setting,
-    way: Way,
+    strategy: Strategy,
     rng: StdRng,
     entries: Vec<Entry>,
-    starts: Vec<UpstreamIncarnation>,
+    incarnations: Vec<UpstreamIncarnation>,
     /// When requests arrived at each limited upstream.
-    came: Vec<Vec<f64>>,
+    arrivals: Vec<Vec<f64>>,
     /// For the oracle: what was sent to each in the last window.
-    known: Vec<VecDeque<f64>>,
+    recent_sends: Vec<VecDeque<f64>>,
     /// For turns: whose it was last, since when, and what was sent since.
-    used: Vec<(usize, usize)>,
-    figures: Figures,
+    turn_usage: Vec<(usize, usize)>,
+    result: RunResult,
 }
 
 /// Plays some upstreams that name a limit from a moment on.
-pub(crate) fn run(setting: &Setting, way: Way, seed: u64) -> Figures {
-    World::new(setting, way, seed).run()
+pub(crate) fn run(setting: &Setting, strategy: Strategy, seed: u64) -> RunResult {
+    World::new(setting, strategy, seed).run()
 }
 
 impl<'a> World<'a> {
-    fn new(setting: &'a Setting, way: Way, seed: u64) -> Self {
+    fn new(setting: &'a Setting, strategy: Strategy, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let hosts = hosts(seed, setting.entries);
         let mut entries = Vec::new();
         for (n, host) in hosts.iter().enumerate() {
             let mut fleet = Fleet::new(host);
-            let known = if way == Way::Alone { &hosts[n..=n] } else { &hosts[..] };
-            known.iter().for_each(|other| fleet.add_gateway(other.clone()));
-            let weight = weight(n, setting.uneven);
-            let hears_s = NAMED_S + rng.random_range(0.0..=NEWS_S);
+            let known_hosts = if strategy == Strategy::Alone { &hosts[n..=n] } else { &hosts[..] };
+            known_hosts.iter().for_each(|other| fleet.add_gateway(other.clone()));
+            let weight = weight(n, setting.skew);
+            let learns_s = REPORTED_S + rng.random_range(0.0..=UPDATE_DELAY_S);
             let limits = NamedLimits::default();
-            entries.push(Entry { limits, fleet, weight, hears_s, has_heard: false });
+            entries.push(Entry { limits, fleet, weight, learns_s, has_learned: false });
         }
         Self {
             setting,
-            way,
+            strategy,
             rng,
             entries,
-            starts: starts(seed, setting.limited),
-            came: vec![Vec::new(); setting.limited],
-            known: vec![VecDeque::new(); setting.limited],
-            used: vec![(0, 0); setting.limited],
-            figures: Figures::default(),
+            incarnations: incarnations(seed, setting.limited),
+            arrivals: vec![Vec::new(); setting.limited],
+            recent_sends: vec![VecDeque::new(); setting.limited],
+            turn_usage: vec![(0, 0); setting.limited],
+            result: RunResult::default(),
         }
     }
 
-    fn run(mut self) -> Figures {
+    fn run(mut self) -> RunResult {
         let weights: Vec<f64> = self.entries.iter().map(|entry| entry.weight).collect();
-        let mut now_s = NAMED_S;
+        let mut now_s = REPORTED_S;
         loop {
             now_s = next_arrival_s(&mut self.rng, now_s, self.setting.per_s);
-            if now_s >= NAMED_S + LASTS_S {
+            if now_s >= REPORTED_S + DURATION_S {
                 break;
             }
             let entry = draw_weighted(&mut self.rng, &weights);
             self.request(now_s, entry);
         }
-        self.figures.most =
-            self.came.iter_mut().map(|came| most_in_window(came)).max().unwrap_or(0);
-        self.figures.at_limited = self.came.iter().map(Vec::len).sum();
-        self.figures
+        self.result.peak_per_window =
+            self.arrivals.iter_mut().map(|arrivals| peak_in_window(arrivals)).max().unwrap_or(0);
+        self.result.at_limited = self.arrivals.iter().map(Vec::len).sum();
+        self.result
     }
 
     /// A request goes to a limited upstream, which has little to do, if it may.
     fn request(&mut self, now_s: f64, number: usize) {
-        self.figures.requests += 1;
-        self.hear(now_s, number);
-        if !self.entries[number].has_heard {
+        self.result.requests += 1;
+        self.learn(now_s, number);
+        if !self.entries[number].has_learned {
             return;
         }
         let first = self.rng.random_range(0..self.setting.limited);
@@ -166,65 +166,66 @@
         let usable = limited.into_iter().find(|upstream| self.is_usable(now_s, number, *upstream));
         let Some(upstream) = usable else {
             let has_others = self.setting.limited < self.setting.upstreams;
-            self.figures.refused += usize::from(!has_others);
+            self.result.refused += usize::from(!has_others);
             return;
         };
-        let held_up = self.rng.random_bool(HELD_UP_SHARE);
-        let way_s = ON_THE_WAY_S + if held_up { HELD_UP_S } else { 0.0 };
-        self.came[upstream].push(now_s + way_s);
-        self.known[upstream].push_back(now_s);
-        self.used[upstream].1 += 1;
-        self.entries[number].limits.record_sent(at(now_s), &self.starts[upstream]);
+        let is_delayed = self.rng.random_bool(DELAYED_RATIO);
+        let transit_s = TRANSIT_S + if is_delayed { EXTRA_DELAY_S } else { 0.0 };
+        self.arrivals[upstream].push(now_s + transit_s);
+        self.recent_sends[upstream].push_back(now_s);
+        self.turn_usage[upstream].1 += 1;
+        self.entries[number].limits.record_sent(at(now_s), &self.incarnations[upstream]);
     }
 
-    fn hear(&mut self, now_s: f64, number: usize) {
+    fn learn(&mut self, now_s: f64, number: usize) {
         let entry = &mut self.entries[number];
-        if entry.has_heard || now_s < entry.hears_s {
+        if entry.has_learned || now_s < entry.learns_s {
             return;
         }
-        entry.has_heard = true;
+        entry.has_learned = true;
         let limit = RequestRate::from_per_s(self.setting.limit_per_s).expect("a rate");
-        for start in &self.starts {
+        for start in &self.incarnations {
             entry.limits.record_report(at(now_s), start, at(now_s), NamedLimit::Of(limit));
         }
     }
 
     fn is_usable(&mut self, now_s: f64, number: usize, upstream: usize) -> bool {
         let whole = (self.setting.limit_per_s * WINDOW_S).max(1.0) as usize;
-        match self.way {
-            Way::Alone | Way::Parts => {
+        match self.strategy {
+            Strategy::Alone | Strategy::Parts => {
                 let entry = &self.entries[number];
-                let place = entry.limits.place(at(now_s), &self.starts[upstream], &entry.fleet);
+                let place =
+                    entry.limits.place(at(now_s), &self.incarnations[upstream], &entry.fleet);
                 place.is_usable()
             }
-            Way::Turns => {
-                let turn = ((now_s - NAMED_S) / WINDOW_S) as usize + upstream;
-                if self.used[upstream].0 != turn {
-                    self.used[upstream] = (turn, 0);
+            Strategy::Turns => {
+                let turn = ((now_s - REPORTED_S) / WINDOW_S) as usize + upstream;
+                if self.turn_usage[upstream].0 != turn {
+                    self.turn_usage[upstream] = (turn, 0);
                 }
-                turn % self.setting.entries == number && self.used[upstream].1 < whole
+                turn % self.setting.entries == number && self.turn_usage[upstream].1 < whole
             }
-            Way::Oracle => {
-                let known = &mut self.known[upstream];
-                while known.front().is_some_and(|sent_s| now_s - sent_s > WINDOW_S) {
-                    known.pop_front();
+            Strategy::Oracle => {
+                let recent_sends = &mut self.recent_sends[upstream];
+                while recent_sends.front().is_some_and(|sent_s| now_s - sent_s > WINDOW_S) {
+                    recent_sends.pop_front();
                 }
-                known.len() < whole
+                recent_sends.len() < whole
             }
         }
     }
 }
 
 /// The most requests that arrived within one window.
-fn most_in_window(came: &mut [f64]) -> usize {
-    came.sort_by(f64::total_cmp);
+fn peak_in_window(arrivals: &mut [f64]) -> usize {
+    arrivals.sort_by(f64::total_cmp);
     let mut first = 0;
-    let mut most = 0;
-    for last in 0..came.len() {
-        while came[last] - came[first] > WINDOW_S {
+    let mut peak_per_window = 0;
+    for last in 0..arrivals.len() {
+        while arrivals[last] - arrivals[first] > WINDOW_S {
             first += 1;
         }
-        most = most.max(last - first + 1);
+        peak_per_window = peak_per_window.max(last - first + 1);
     }
-    most
+    peak_per_window
 }
--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -64,9 +64,9 @@
         let best = costs.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let best = best.map_or(0, |(.., at)| at);
         let instance = &self.instances[best];
-        let read = self.prefixes.cached_tokens(now, instance, &self.model, &parts);
-        let unread = request.prompt_tokens.saturating_sub(read);
-        let work = PrefillWork { remaining_prefill_ms: unread as f64 * MS_PER_TOKEN };
+        let cached_tokens = self.prefixes.cached_tokens(now, instance, &self.model, &parts);
+        let remaining_tokens = request.prompt_tokens.saturating_sub(cached_tokens);
+        let work = PrefillWork { remaining_prefill_ms: remaining_tokens as f64 * MS_PER_TOKEN };
         self.load.request_started(instance, work);
         self.prefixes.record_prefill(now, instance, &self.model, &parts);
         (best, work)
@@ -78,7 +78,7 @@
     }
 
     /// The answer is whole.
-    pub(crate) fn ended(&mut self, at: usize) {
+    pub(crate) fn request_finished(&mut self, at: usize) {
         self.load.request_ended(&self.instances[at], PrefillWork::default());
     }
 
--- a/benches/support/seeded_runs.rs
+++ b/benches/support/seeded_runs.rs
@@ -12,16 +12,16 @@
 const THREADS: u64 = 4;
 
 /// Plays so many seeds. What comes of them is in no order.
-pub(crate) fn play<F: Send>(seeds: u64, run: impl Fn(u64) -> F + Sync) -> Vec<F> {
+pub(crate) fn run_seeds<F: Send>(seeds: u64, run: impl Fn(u64) -> F + Sync) -> Vec<F> {
     let run = &run;
-    let of_thread = |n: u64| {
+    let worker = |n: u64| {
         move || {
-            let own = (0..seeds).filter(move |seed| seed % THREADS == n);
-            own.map(run).collect::<Vec<_>>()
+            let thread_seeds = (0..seeds).filter(move |seed| seed % THREADS == n);
+            thread_seeds.map(run).collect::<Vec<_>>()
         }
     };
     thread::scope(|scope| {
-        let threads: Vec<_> = (0..THREADS).map(|n| scope.spawn(of_thread(n))).collect();
+        let threads: Vec<_> = (0..THREADS).map(|n| scope.spawn(worker(n))).collect();
         threads.into_iter().flat_map(|t| t.join().expect("a run ends")).collect()
     })
 }
@@ -37,13 +37,13 @@
 }
 
 /// The upstreams of a run.
-pub(crate) fn starts(seed: u64, count: usize) -> Vec<UpstreamIncarnation> {
+pub(crate) fn incarnations(seed: u64, count: usize) -> Vec<UpstreamIncarnation> {
     (0..count).map(|n| format!("i-{seed}-{n}").parse().expect("a start")).collect()
 }
 
 /// Requests at an entry beside those at others: a third of the entries gets so many times as many.
-pub(crate) fn weight(entry: usize, uneven: f64) -> f64 {
-    if entry.is_multiple_of(3) { uneven } else { 1.0 }
+pub(crate) fn weight(entry: usize, skew: f64) -> f64 {
+    if entry.is_multiple_of(3) { skew } else { 1.0 }
 }
 
 /// When the next request comes, of so many a second.
