--- a/benches/support/cold_world.rs
+++ b/benches/support/cold_world.rs
@@ -1,4 +1,7 @@
-//! Entries, and upstreams of which some come back cold, in virtual time.
+//! Simulates gateways and upstreams in virtual time, where some upstreams restart and need to warm up.
+//!
+//! The gateways decide with the gateway's own `policy::cold`. All random draws of a run come from its seed,
+//! so a run with the same seed gives the same result.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -22,7 +25,8 @@
 use crate::seeded_runs::next_arrival_s;
 use crate::seeded_runs::weight;
 
-/// What an upstream bears in a second while it is cold, and the bound by the platform's page.
+/// Capacity of an upstream while it warms up, and the most requests a second that the platform's
+/// specification allows there: `OVERAGE` times the capacity, plus `SLACK`.
 pub(crate) const SERVICE: ColdService =
     ColdService { after_start: Duration::from_secs(3), per_s: 18.0 };
 const OVERAGE: f64 = 1.5;
@@ -30,40 +34,40 @@
 pub(crate) const BOUND_PER_S: usize = 32;
 
 const WARM_UP_S: f64 = 3.0;
-/// Upstreams come back then; entries may have joined since the run began.
+/// Time at which upstreams restart. Gateways may join between the start of the run and this time.
 const RESTART_S: f64 = 4.0;
-/// One request in a hundred is held up on its way.
+/// Share of requests that are delayed in transit, by `EXTRA_DELAY_S`.
 const DELAYED_RATIO: f64 = 0.01;
 const EXTRA_DELAY_S: f64 = 0.08;
 const TRANSIT_S: f64 = 0.001;
 
-/// How requests are divided.
+/// How gateways share the capacity of upstreams that warm up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Strategy {
-    /// Any entry sends as it likes, as before.
+    /// Every gateway sends without a bound.
     Free,
-    /// Among so many entries.
+    /// At most this many gateways send to one upstream, each within its share of the bound.
     Among(u32),
-    /// One that knows all that was sent, up to the bound itself.
+    /// Knows every request sent by any gateway, and sends up to the bound.
     Oracle,
 }
 
-/// What is played.
+/// Parameters of a run.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Setting {
     pub(crate) entries: usize,
     pub(crate) upstreams: usize,
-    /// Of these, so many are cold at once.
+    /// Number of the upstreams that warm up at the same time.
     pub(crate) cold: usize,
-    /// Requests a second, at all entries.
+    /// Requests per second at all gateways together.
     pub(crate) per_s: f64,
-    /// A third of the entries gets so many times the requests of the others.
+    /// Factor by which a third of the gateways gets more requests than each of the others.
     pub(crate) skew: f64,
-    /// In the first second after the return, so many times the requests.
+    /// Factor on the request rate in the first second after the restart.
     pub(crate) burst: f64,
-    /// News are late by up to so much.
+    /// Longest delay of state received from an upstream or a peer, in seconds.
     pub(crate) update_delay_s: f64,
-    /// So many entries of a hundred join in the seconds before the return.
+    /// Percentage of gateways that join in the seconds before the restart.
     pub(crate) joining: usize,
 }
 
@@ -78,14 +82,14 @@
     joining: 0,
 };
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct RunResult {
-    /// The most requests within a second at one cold upstream.
+    /// Most requests within a second at one upstream that warms up.
     pub(crate) peak_per_s: usize,
-    /// Requests at cold upstreams.
+    /// Requests sent to upstreams that warm up.
     pub(crate) at_cold: usize,
-    /// Requests that found no place.
+    /// Requests that no upstream could accept.
     pub(crate) refused: usize,
     pub(crate) requests: usize,
 }
@@ -94,7 +98,7 @@
     cold: ColdUpstreams,
     fleet: Fleet,
     weight: f64,
-    /// When it takes part, and when it hears of the return.
+    /// When it starts to serve, and when it learns that upstreams have restarted.
     joined_s: f64,
     learns_s: f64,
     has_learned: bool,
@@ -106,14 +110,14 @@
     rng: StdRng,
     entries: Vec<Entry>,
     incarnations: Vec<UpstreamIncarnation>,
-    /// What came to each cold upstream: when it was sent and when it arrived.
+    /// Send and arrival times of the requests at each upstream that warms up.
     arrivals: Vec<Vec<(f64, f64)>>,
-    /// For the oracle: what was sent to each in the last second.
+    /// Send times within the last second for each upstream; used by `Strategy::Oracle`.
     recent_sends: Vec<VecDeque<f64>>,
     result: RunResult,
 }
 
-/// Plays one return of upstreams.
+/// Simulates one restart of upstreams.
 pub(crate) fn run(setting: &Setting, strategy: Strategy, seed: u64) -> RunResult {
     World::new(setting, strategy, seed).run()
 }
@@ -131,7 +135,7 @@
         let mut entries = Vec::new();
         for (n, host) in hosts.iter().enumerate() {
             let mut fleet = Fleet::new(host);
-            // Those that were there first know each other.
+            // Gateways that run from the beginning know each other.
             hosts[joining..].iter().for_each(|other| fleet.add_gateway(other.clone()));
             if n < joining {
                 fleet.announce_self(at(joined_s[n]));
@@ -157,8 +161,8 @@
         world
     }
 
-    /// Each entry hears of each newcomer a while after it has joined; by the return all that
-    /// matter have, or not.
+    /// Each gateway learns of each newcomer with a delay after it has joined. An update that comes later
+    /// than the middle of the warm-up is dropped, as gateways are only added before the run.
     fn announce_newcomers(&mut self, newcomers: &[HostId], joined_s: &[f64]) {
         for (newcomer, joined_s) in newcomers.iter().zip(joined_s) {
             for entry in &mut self.entries {
@@ -190,7 +194,8 @@
         self.result
     }
 
-    /// A request goes to a cold upstream that has nothing to do, if it may, as the idlest.
+    /// Sends a request to an upstream that warms up if the strategy allows one: it is idle and therefore
+    /// preferred over busy upstreams.
     fn request(&mut self, now_s: f64, number: usize) {
         if now_s < self.entries[number].joined_s {
             return;
@@ -246,7 +251,7 @@
     }
 }
 
-/// The most requests that were sent and arrived within one second.
+/// The most requests that were both sent and received within one second.
 fn peak_in_second(arrivals: &[(f64, f64)]) -> usize {
     let within = |from_s: f64| {
         arrivals
--- a/benches/support/ends_decisions.rs
+++ b/benches/support/ends_decisions.rs
@@ -1,4 +1,4 @@
-//! What entries decide of requests that end upstreams, and what they agree on through the store.
+//! What gateways decide about fatal requests, and the records that they share through the store.
 
 use std::time::Duration;
 
@@ -14,12 +14,13 @@
 use super::seconds;
 use crate::ends_setting::Policy;
 
-/// These entries write to the store.
+/// Number of gateways that write to the store.
 const WRITERS: usize = 3;
 const SETTLED: Duration = Duration::from_millis(500);
 
 impl World {
-    /// What may be done with a request: whether it is sent, and whether apart from others.
+    /// Decides whether a request may be sent: `None` if not, else whether it has to run isolated from other
+    /// requests.
     pub(super) fn decide(&mut self, number: usize) -> Option<bool> {
         let request = self.requests[number];
         match self.setting.policy {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Asks the store whether a request may be tried again.
+    /// Claims a trial of a quarantined request through the store, so that only one gateway runs it.
     fn claim(&mut self, number: usize) -> bool {
         let Request { fingerprint, entry, attempts, .. } = self.requests[number];
         if attempts > 0 {
--- a/benches/support/ends_world.rs
+++ b/benches/support/ends_world.rs
@@ -1,4 +1,7 @@
-//! Entries, upstreams and callers of which some send fatal requests, in virtual time.
+//! Simulates gateways, upstreams and callers in virtual time, where some callers send fatal requests.
+//!
+//! This file holds the events and the effects of crashes; `decisions` holds what gateways decide and store.
+//! All random draws of a run come from its seed, so a run with the same seed gives the same result.
 
 #[path = "ends_decisions.rs"]
 mod decisions;
@@ -25,40 +28,42 @@
 use crate::ends_setting::Setting;
 
 const DURATION_S: f64 = 40.0;
-/// Fatal bodies come from here to there.
+/// Interval in which callers send fatal bodies.
 const REPEAT_FROM_S: f64 = 3.0;
 const REPEAT_UNTIL_S: f64 = 23.0;
-/// A fatal run lasts so long, and a stream of others.
+/// Duration of a run with a fatal body, and of an ordinary stream.
 const FATAL_RUN_S: f64 = 0.1;
 const STREAM_S: f64 = 3.0;
-/// Before a request is sent on, as the gateway waits.
+/// Delay before a request is sent again, as in the gateway.
 const RETRY_DELAY_S: f64 = 0.1;
-/// The rule counts what is sent later than this after the third end.
+/// Sends count as late from this long after the third crash, as the platform's rule has it.
 const GRACE_S: f64 = 3.0;
-/// News that are lost are told again.
+/// Interval at which lost updates are sent again, and at which gateways write to the store.
 const UPDATE_INTERVAL_S: f64 = 0.2;
 const ATTEMPTS: u32 = 3;
 const UNCOUNTED_CRASHES: u32 = 3;
 const WORKSPACES: u64 = 20;
 const UPDATE_BYTES: u64 = 30;
-/// An upstream whose end does not show at once takes requests again after so long.
+/// Time until an upstream whose crash is detected late accepts requests again.
 const UNDETECTED_RESTART_S: f64 = 0.02;
 
 #[derive(Debug, Clone)]
 enum Event {
-    /// A caller sends a body once more.
+    /// A caller sends a fatal body again.
     RepeatBody(usize),
-    /// A request is sent to an upstream.
+    /// A request is ready to be sent to an upstream.
     Send(usize),
-    /// It has run to its end.
+    /// An attempt of a request has run for its full duration; the second field is the attempt's number.
     RunFinished(usize, u32),
-    /// An upstream starts again.
+    /// An upstream is up again, as a new incarnation.
     Restart(usize),
-    /// An entry learns that an upstream has ended some time ago.
+    /// A gateway detects a crash of an upstream that happened some time ago.
     CrashDetected(usize, UpstreamKey),
-    /// What an entry tells another one in one message.
+    /// A gateway receives crashes from a peer, in one message.
     PeerUpdate(usize, Vec<CrashUpdate>),
+    /// A gateway reads a changed or removed record of the store.
     Stored(usize, RequestFingerprint, Option<(StoreVersion, FatalRecord)>),
+    /// Gateways write their changes to the store.
     StoreWrites,
 }
 
@@ -67,7 +72,7 @@
     fingerprint: RequestFingerprint,
     workspace: u64,
     entry: usize,
-    /// The number of its body, if that is a fatal one.
+    /// Index of its fatal body, if it has one.
     body: Option<usize>,
     upstream: Option<usize>,
     attempts: u32,
@@ -91,7 +96,7 @@
     upstreams: Vec<Upstream>,
     rows: HashMap<RequestFingerprint, (StoreVersion, FatalRecord)>,
     version: u64,
-    /// When each body ended an upstream.
+    /// Times of the crashes that each fatal body caused.
     ends: Vec<Vec<MonoTime>>,
     result: RunResult,
 }
@@ -259,7 +264,7 @@
         }
     }
 
-    /// An upstream ends by a body, and with it all that runs there.
+    /// Crashes an upstream and breaks all streams that run there.
     fn end(&mut self, upstream: usize, body: Option<usize>) {
         let key = UpstreamKey(self.upstreams[upstream].start << 32 | upstream as u64);
         self.upstreams[upstream].is_up = false;
@@ -276,7 +281,7 @@
         }
         let there = |number: &usize| self.requests[*number].upstream == Some(upstream);
         let broken: Vec<_> = (0..self.requests.len()).filter(there).collect();
-        // In the order of entries, so that a run is the same every time.
+        // Ordered by gateway, so that a run is reproducible.
         let mut updates: BTreeMap<usize, Vec<CrashUpdate>> = BTreeMap::new();
         for number in broken {
             if let Some(end) = self.break_stream(number, key, is_late) {
@@ -286,7 +291,7 @@
         updates.into_iter().for_each(|(entry, updates)| self.send_updates(entry, &updates));
     }
 
-    /// Entries learn only a while later that an upstream has ended.
+    /// Schedules when each gateway detects a crash that is not visible immediately.
     fn schedule_detection(&mut self, upstream: UpstreamKey) {
         let detection = self.setting.detection;
         if detection.attribution == Attribution::Never {
@@ -304,7 +309,8 @@
         }
     }
 
-    /// Gives what the request's entry has to tell of it.
+    /// Records a broken stream at its gateway and retries the request while attempts remain. Returns the crash
+    /// to send to peers, if it is a new one.
     fn break_stream(
         &mut self,
         number: usize,
--- a/benches/support/limits_world.rs
+++ b/benches/support/limits_world.rs
@@ -1,4 +1,7 @@
-//! Entries, and upstreams of which some name a limit, in virtual time.
+//! Simulates gateways and upstreams in virtual time, where some upstreams report a rate limit.
+//!
+//! The gateways decide with the gateway's own `policy::named_limits`. All random draws of a run come from
+//! its seed, so a run with the same seed gives the same result.
 
 use std::collections::VecDeque;
 
@@ -18,45 +21,46 @@
 use crate::seeded_runs::next_arrival_s;
 use crate::seeded_runs::weight;
 
-/// The bound by the platform's page: what may come in a window.
+/// The platform's specification bounds the requests in a window to `OVERAGE` times the limit, plus `SLACK`.
 const WINDOW_S: f64 = 4.0;
 const OVERAGE: f64 = 1.5;
 const SLACK: f64 = 5.0;
 
-/// When the limits are named, and how long they are played; each entry hears of them late.
+/// When upstreams report their limits, for how long the run continues, and the longest delay until a gateway
+/// learns of them.
 const REPORTED_S: f64 = 3.0;
 const DURATION_S: f64 = 20.0;
 const UPDATE_DELAY_S: f64 = 0.5;
 
-/// One request in a hundred is held up on its way.
+/// Share of requests that are delayed in transit, by `EXTRA_DELAY_S`.
 const DELAYED_RATIO: f64 = 0.01;
 const EXTRA_DELAY_S: f64 = 0.3;
 const TRANSIT_S: f64 = 0.001;
 
-/// How a limit is kept.
+/// How gateways enforce a limit together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Strategy {
-    /// Each entry keeps to it by itself.
+    /// Each gateway applies the whole limit by itself.
     Alone,
-    /// Each to its part, by its rank.
+    /// Each gateway applies its share, which follows from its rank.
     Parts,
-    /// Each to the whole of it in its turn, by clocks that agree.
+    /// Gateways use the whole limit in turn, one window each, with synchronized clocks.
     Turns,
-    /// One knows all that was sent, and keeps to the limit itself.
+    /// Knows every request sent by any gateway, and sends up to the limit.
     Oracle,
 }
 
-/// What is played.
+/// Parameters of a run.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Setting {
     pub(crate) entries: usize,
     pub(crate) upstreams: usize,
-    /// Of these, so many name a limit.
+    /// Number of the upstreams that report a limit.
     pub(crate) limited: usize,
     pub(crate) limit_per_s: f64,
-    /// Requests a second, at all entries.
+    /// Requests per second at all gateways together.
     pub(crate) per_s: f64,
-    /// A third of the entries gets so many times the requests of the others.
+    /// Factor by which a third of the gateways gets more requests than each of the others.
     pub(crate) skew: f64,
 }
 
@@ -64,20 +68,20 @@
     Setting { entries: 21, upstreams: 40, limited: 4, limit_per_s: 2.2, per_s: 278.0, skew: 1.0 };
 
 impl Setting {
-    /// What may come to one upstream in a window.
+    /// Most requests that one upstream may receive in a window.
     pub(crate) fn bound(&self) -> f64 {
         OVERAGE * self.limit_per_s * WINDOW_S + SLACK
     }
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct RunResult {
-    /// The most requests in a window at one limited upstream.
+    /// Most requests within a window at one limited upstream.
     pub(crate) peak_per_window: usize,
-    /// Requests at limited upstreams.
+    /// Requests sent to limited upstreams.
     pub(crate) at_limited: usize,
-    /// Requests that found no place, of all.
+    /// Requests that no upstream could accept.
     pub(crate) refused: usize,
     pub(crate) requests: usize,
 }
@@ -96,16 +100,16 @@
     rng: StdRng,
     entries: Vec<Entry>,
     incarnations: Vec<UpstreamIncarnation>,
-    /// When requests arrived at each limited upstream.
+    /// Arrival times of the requests at each limited upstream.
     arrivals: Vec<Vec<f64>>,
-    /// For the oracle: what was sent to each in the last window.
+    /// Send times within the last window for each upstream; used by `Strategy::Oracle`.
     recent_sends: Vec<VecDeque<f64>>,
-    /// For turns: whose it was last, since when, and what was sent since.
+    /// Number of the last turn and the requests sent in it, for each upstream; used by `Strategy::Turns`.
     turn_usage: Vec<(usize, usize)>,
     result: RunResult,
 }
 
-/// Plays some upstreams that name a limit from a moment on.
+/// Simulates upstreams that report a limit from `REPORTED_S` on.
 pub(crate) fn run(setting: &Setting, strategy: Strategy, seed: u64) -> RunResult {
     World::new(setting, strategy, seed).run()
 }
@@ -216,7 +220,7 @@
     }
 }
 
-/// The most requests that arrived within one window.
+/// The most requests that arrived within one window; sorts `arrivals`.
 fn peak_in_window(arrivals: &mut [f64]) -> usize {
     arrivals.sort_by(f64::total_cmp);
     let mut first = 0;
--- a/benches/support/messages.rs
+++ b/benches/support/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of an entry, as the capacity bench sends them.
+//! Messages that an entry sends to a sidecar, for the capacity bench.
 
 use stallhoist_core::AttemptNumber;
 use stallhoist_core::BillRecord;
@@ -45,22 +45,22 @@
     }
 }
 
-/// A record to hold.
+/// A bill record for the sidecar to hold.
 pub(crate) fn hold(_: usize) -> Body {
     Body::BillHold(BillHold { record: Some(bill_to_wire(&record())) })
 }
 
-/// A question about an attempt that never came.
+/// A request to attest an attempt that the sidecar never received.
 pub(crate) fn attest(_: usize) -> Body {
     Body::Attest(Attest { attempt: attempt_to_wire(new_attempt()) })
 }
 
-/// A status without changes.
+/// A status message without changes.
 pub(crate) fn status(_: usize) -> Body {
     Body::Status(Status { revision: 1, ..Status::default() })
 }
 
-/// Edits that follow each other: each flips one weight.
+/// The edit of a sequence with this number: edits alternate one weight between two values.
 pub(crate) fn table_edit(number: usize, first_revision: u64) -> Body {
     let (before, after) = if number.is_multiple_of(2) { ("1", "2") } else { ("2", "1") };
     let revision = first_revision + number as u64;
--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -1,4 +1,4 @@
-//! The choice that a gateway makes: from what one entry knows itself.
+//! The gateway's choice of an upstream, from the state that one entry has locally.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -17,24 +17,24 @@
 use stallhoist_policy::balance::UpstreamLoad;
 use stallhoist_policy::balance::expected_cost_ms;
 
-/// The fake engines take in a prompt token in 100 us.
+/// Prefill time of the fake engines: 100 us for each prompt token.
 const MS_PER_TOKEN: f64 = 0.1;
 const BLOCK_TOKENS: u64 = 64;
 const SLOTS: u32 = 256;
 
-/// What one entry knows.
+/// Local state of one entry: load and prompt caches of the upstreams, from its own requests.
 pub(crate) struct OwnKnowledge {
     config: BalanceConfig,
     model: ModelName,
     instances: Vec<UpstreamIncarnation>,
     load: UpstreamLoad,
     prefixes: PrefixCaches,
-    /// Breaks ties, as the gateway does by a hash of the request.
+    /// Breaks ties; the gateway uses a hash of the request instead.
     rng: StdRng,
 }
 
 impl OwnKnowledge {
-    /// Of so many upstreams nothing is known yet.
+    /// State in which nothing is known of the upstreams.
     pub(crate) fn new(upstreams: usize, seed: u64) -> Self {
         let instance = |n| format!("instance-{n}").parse().expect("a name");
         Self {
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Chooses the upstream that is expected to cost least, and sends the request there.
+    /// Chooses the upstream with the lowest expected cost and records the request there. Returns its index and
+    /// the prefill work.
     pub(crate) fn send(&mut self, now: MonoTime, request: &FakeRequest) -> (usize, PrefillWork) {
         let facts = RequestFacts {
             prompt_tokens: request.prompt_tokens,
@@ -72,12 +73,12 @@
         (best, work)
     }
 
-    /// The first token came: the prompt has been read.
+    /// Records the first token: the prefill has finished.
     pub(crate) fn first_token(&mut self, at: usize, work: PrefillWork) {
         self.load.prefill_finished(&self.instances[at], work);
     }
 
-    /// The answer is whole.
+    /// Records a complete response.
     pub(crate) fn request_finished(&mut self, at: usize) {
         self.load.request_ended(&self.instances[at], PrefillWork::default());
     }
--- a/benches/support/quiet.rs
+++ b/benches/support/quiet.rs
@@ -1,10 +1,10 @@
-//! A fleet that does little by itself, so that what is measured stands out.
+//! Plan of a fleet with little background work, so that it does not distort measurements.
 
 use stallhoist_standins::engine::EngineSwitches;
 
 use crate::harness::Plan;
 
-/// One engine that answers at once; polls, heartbeats and flushes as far apart as in use.
+/// One engine that responds immediately; polls, heartbeats and flushes are as infrequent as in production.
 pub(crate) fn quiet() -> Plan {
     Plan {
         engines: vec!["m@v1"],
--- a/benches/support/slope.rs
+++ b/benches/support/slope.rs
@@ -1,11 +1,11 @@
-//! A slope with what it was measured from, and its plot.
+//! Cost of one more unit of load, as the slope of a line through measured points, and its plot.
 
 use std::fmt::Write;
 use std::fs;
 
 use stallhoist_measure::LineFit;
 
-/// A slope with what it was measured from.
+/// Measured points `(load, cost)` whose fitted slope is the cost of one unit of load.
 pub(crate) struct Slope {
     pub(crate) name: &'static str,
     pub(crate) unit: &'static str,
@@ -18,7 +18,7 @@
     }
 }
 
-/// A plot of measured points and their line, as SVG.
+/// Writes an SVG plot of the points and their fitted line to `docs/plots`.
 pub(crate) fn plot(slope: &Slope, x_title: &str, file: &str) {
     let (width, height, margin) = (640.0, 360.0, 60.0);
     let largest = |values: Vec<f64>| values.into_iter().fold(f64::EPSILON, f64::max);
