--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -68,35 +68,35 @@
 enum Event {
     Arrive(usize),
     StepEnd,
-    Due,
+    PumpDue,
 }
 
 /// What became of a request.
 #[derive(Debug, Clone, Copy, Default)]
-struct Fate {
+struct RequestOutcome {
     offered: Option<MonoTime>,
     first_token: Option<MonoTime>,
     finished: Option<MonoTime>,
     is_admitted: bool,
-    is_refused_late: bool,
-    returns: u32,
-    is_admitted_on_return: bool,
+    is_refused_after_queueing: bool,
+    retries: u32,
+    is_admitted_on_retry: bool,
 }
 
 #[derive(Debug, Default)]
-struct Figures {
+struct RunResult {
     goodput: f64,
-    late_of_admitted: f64,
+    late_ratio: f64,
     interval_p95_s: f64,
     refused_at_once: f64,
-    truthful_returns: f64,
+    admitted_retries: f64,
 }
 
 struct Run {
     policy: Policy,
     upstream: FakeUpstream,
     queue: EventQueue<Event>,
-    fates: Vec<Fate>,
+    outcomes: Vec<RequestOutcome>,
     deadlines: Vec<Duration>,
     intervals: Vec<f64>,
 }
@@ -113,13 +113,13 @@
             policy,
             upstream: FakeUpstream::new(EngineTimes::default(), policy.config()),
             queue: EventQueue::default(),
-            fates: vec![Fate::default(); requests.len()],
+            outcomes: vec![RequestOutcome::default(); requests.len()],
             deadlines: requests.iter().map(deadline).collect(),
             intervals: Vec::new(),
         }
     }
 
-    fn run(mut self, requests: &[FakeRequest], capacity: f64, duration: Duration) -> Figures {
+    fn run(mut self, requests: &[FakeRequest], capacity: f64, duration: Duration) -> RunResult {
         for (id, request) in requests.iter().enumerate() {
             self.queue.add(request.arrives, Event::Arrive(id));
         }
@@ -133,34 +133,34 @@
                         let took = step.took.as_secs_f64();
                         self.intervals.extend(std::iter::repeat_n(took, step.batch));
                     }
-                    self.take(now, step);
+                    self.apply_step(now, step);
                 }
-                Event::Due => {
+                Event::PumpDue => {
                     let mut step = StepResult::default();
                     self.upstream.pump(now, &mut step);
-                    self.take(now, step);
+                    self.apply_step(now, step);
                 }
             }
             if let Some(ends) = self.upstream.begin_step(now) {
                 self.queue.add(ends, Event::StepEnd);
             }
         }
-        self.figures(capacity, end)
+        self.result(capacity, end)
     }
 
     fn arrive(&mut self, now: MonoTime, id: usize, request: &FakeRequest) {
-        let is_return = self.fates[id].returns > 0;
+        let is_retry = self.outcomes[id].retries > 0;
         // What is not bounded knows no deadlines either.
         let is_bounded = self.policy.is_bounded();
         let deadline = if is_bounded { self.deadlines[id] } else { Duration::from_secs(1_000_000) };
         let deadline = now.after(deadline);
-        self.fates[id].offered = Some(now);
+        self.outcomes[id].offered = Some(now);
         match self.upstream.offer(now, id, request, deadline) {
             AdmissionDecision::Start | AdmissionDecision::Queued => {
-                self.fates[id].is_admitted = true;
-                self.fates[id].is_admitted_on_return = is_return;
+                self.outcomes[id].is_admitted = true;
+                self.outcomes[id].is_admitted_on_retry = is_retry;
                 if let Some(due) = self.upstream.admission.next_due() {
-                    self.queue.add(due, Event::Due);
+                    self.queue.add(due, Event::PumpDue);
                 }
             }
             AdmissionDecision::Refused { retry_after, .. } => self.refused(now, id, retry_after),
@@ -168,44 +168,45 @@
     }
 
     fn refused(&mut self, now: MonoTime, id: usize, retry_after: Duration) {
-        self.fates[id].is_admitted = false;
-        self.fates[id].is_admitted_on_return = false;
-        if self.fates[id].returns == 0 {
-            self.fates[id].returns = 1;
+        self.outcomes[id].is_admitted = false;
+        self.outcomes[id].is_admitted_on_retry = false;
+        if self.outcomes[id].retries == 0 {
+            self.outcomes[id].retries = 1;
             self.queue.add(now.after(retry_after), Event::Arrive(id));
         } else {
-            self.fates[id].returns = 2;
+            self.outcomes[id].retries = 2;
         }
     }
 
-    fn take(&mut self, now: MonoTime, step: StepResult) {
+    fn apply_step(&mut self, now: MonoTime, step: StepResult) {
         for id in step.first_tokens {
-            self.fates[id].first_token = Some(now);
+            self.outcomes[id].first_token = Some(now);
         }
         for id in step.finished {
-            self.fates[id].finished = Some(now);
+            self.outcomes[id].finished = Some(now);
         }
         for (id, retry_after) in step.refused {
-            self.fates[id].is_refused_late = true;
+            self.outcomes[id].is_refused_after_queueing = true;
             self.refused(now, id, retry_after);
         }
     }
 
-    fn figures(mut self, capacity: f64, end: MonoTime) -> Figures {
+    fn result(mut self, capacity: f64, end: MonoTime) -> RunResult {
         let warm = MonoTime::default().after(WARM_UP);
         let counted_s = end.since(warm).as_secs_f64();
-        let mut figures = Figures::default();
+        let mut result = RunResult::default();
         let (mut on_time, mut admitted, mut late) = (0.0, 0.0, 0.0);
-        let (mut refused, mut refused_late, mut returned, mut came_in) = (0.0, 0.0, 0.0, 0.0);
-        for (id, fate) in self.fates.iter().enumerate() {
+        let (mut refused, mut refused_late, mut returned, mut retries_admitted) =
+            (0.0, 0.0, 0.0, 0.0);
+        for (id, fate) in self.outcomes.iter().enumerate() {
             let Some(offered) = fate.offered.filter(|at| *at > warm && *at < end) else {
                 continue;
             };
-            if fate.returns > 0 {
+            if fate.retries > 0 {
                 refused += 1.0;
                 returned += 1.0;
-                came_in += f64::from(fate.is_admitted_on_return);
-                refused_late += f64::from(fate.is_refused_late);
+                retries_admitted += f64::from(fate.is_admitted_on_retry);
+                refused_late += f64::from(fate.is_refused_after_queueing);
             }
             if !fate.is_admitted {
                 continue;
@@ -219,15 +220,15 @@
             on_time += f64::from(is_on_time);
             late += f64::from(!is_on_time);
         }
-        figures.goodput = on_time / counted_s / capacity;
-        figures.late_of_admitted = late / f64::max(admitted, 1.0);
-        figures.interval_p95_s = percentile(&mut self.intervals, 0.95);
-        figures.refused_at_once = 1.0 - refused_late / f64::max(refused, 1.0);
-        figures.truthful_returns = came_in / f64::max(returned, 1.0);
+        result.goodput = on_time / counted_s / capacity;
+        result.late_ratio = late / f64::max(admitted, 1.0);
+        result.interval_p95_s = percentile(&mut self.intervals, 0.95);
+        result.refused_at_once = 1.0 - refused_late / f64::max(refused, 1.0);
+        result.admitted_retries = retries_admitted / f64::max(returned, 1.0);
         if !self.policy.is_bounded() {
-            figures.truthful_returns = f64::NAN;
+            result.admitted_retries = f64::NAN;
         }
-        figures
+        result
     }
 }
 
@@ -257,7 +258,7 @@
                     finished += step.finished.len() as f64;
                 }
             }
-            Event::Due => {}
+            Event::PumpDue => {}
         }
         if let Some(ends) = run.upstream.begin_step(now) {
             run.queue.add(ends, Event::StepEnd);
@@ -280,7 +281,7 @@
     let capacities: HashMap<u64, f64> = SEEDS.iter().map(|seed| (*seed, capacity(*seed))).collect();
     for load in [0.7, 1.0, 2.0, 4.0] {
         for policy in POLICIES {
-            let figures: Vec<Figures> = SEEDS
+            let results: Vec<RunResult> = SEEDS
                 .iter()
                 .map(|seed| {
                     let shape = shape(capacities[seed] * load);
@@ -292,18 +293,18 @@
                     )
                 })
                 .collect();
-            let spread = |figure: fn(&Figures) -> f64| {
-                let values: Vec<f64> = figures.iter().map(figure).collect();
+            let spread = |figure: fn(&RunResult) -> f64| {
+                let values: Vec<f64> = results.iter().map(figure).collect();
                 Spread::of(&values).to_string()
             };
             report.row([
                 format!("{load}"),
                 format!("{policy:?}"),
                 spread(|f| f.goodput),
-                spread(|f| f.late_of_admitted),
+                spread(|f| f.late_ratio),
                 spread(|f| f.interval_p95_s / TOKEN_INTERVAL_TARGET.as_secs_f64()),
                 spread(|f| f.refused_at_once),
-                spread(|f| f.truthful_returns),
+                spread(|f| f.admitted_retries),
             ]);
         }
     }
--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -42,9 +42,9 @@
 use prost::Message;
 
 /// Fewer than a connection lets wait, so that no answer is dropped.
-const MESSAGES_AT_ONCE: usize = 500;
+const MESSAGES_PER_BATCH: usize = 500;
 const STREAMS: u64 = 100;
-const EDITS_A_TABLE: usize = 200;
+const EDITS_PER_TABLE: usize = 200;
 
 /// Waits for a figure of a sidecar's state.
 async fn wait_state(fleet: &Fleet, key: &str, reached: impl Fn(u64) -> bool) {
@@ -70,9 +70,9 @@
     let mut points = Vec::new();
     for count in [2_000, 4_000, 8_000, 16_000] {
         let before = ProcessUsage::of(sidecar);
-        for part in 0..count / MESSAGES_AT_ONCE {
-            for number in 0..MESSAGES_AT_ONCE {
-                peer.send(make(part * MESSAGES_AT_ONCE + number)).await;
+        for part in 0..count / MESSAGES_PER_BATCH {
+            for number in 0..MESSAGES_PER_BATCH {
+                peer.send(make(part * MESSAGES_PER_BATCH + number)).await;
             }
             // A probe behind them: its answer says that they have been taken.
             let last = Probe { probe_id: u64::MAX, target: "m@v1".to_owned(), ..Probe::default() };
@@ -130,13 +130,13 @@
         let sidecar = fleet.hosts[0].sidecar.id();
         let peer = FakeEntry::connect(fleet.hosts[0].sidecar.addr("entries_addr")).await;
         let before = ProcessUsage::of(sidecar);
-        for number in 0..EDITS_A_TABLE {
+        for number in 0..EDITS_PER_TABLE {
             peer.send(table_edit(number, 2)).await;
         }
-        wait_state(&fleet, "revision", |revision| revision > EDITS_A_TABLE as u64).await;
+        wait_state(&fleet, "revision", |revision| revision > EDITS_PER_TABLE as u64).await;
         let after = ProcessUsage::of(sidecar);
         memory.push((rows as f64, after.resident_mib * 1_024.0));
-        edits.push((rows as f64, micros_between(before, after) / EDITS_A_TABLE as f64));
+        edits.push((rows as f64, micros_between(before, after) / EDITS_PER_TABLE as f64));
     }
     vec![
         Slope { name: "sidecar, a row of the table", unit: "KiB of memory", points: memory },
@@ -171,11 +171,11 @@
         while peers.len() < target {
             peers.push(FakeEntry::connect(fleet.hosts[0].sidecar.addr("entries_addr")).await);
         }
-        let lasts = Duration::from_secs(4);
+        let duration = Duration::from_secs(4);
         let sent_before = sent_bytes(&fleet.sidecar_state(0).await);
         let before = ProcessUsage::of(sidecar);
         let began = Instant::now();
-        while began.elapsed() < lasts {
+        while began.elapsed() < duration {
             for peer in &peers {
                 peer.send(status(0)).await;
             }
@@ -274,12 +274,12 @@
         let before = (ProcessUsage::of(entry), ProcessUsage::of(sidecar));
         let sent_before = link_bytes(&fleet.entry_state(0).await);
         let writes_before = fleet.platform.counts().writes;
-        let one = || async {
+        let run_caller = || async {
             for _ in 0..count / 8 {
                 send(caller.chat("m", "hello", 4, false)).await.expect("an answer");
             }
         };
-        join_all((0..8).map(|_| one())).await;
+        join_all((0..8).map(|_| run_caller())).await;
         harness::wait_until("all is settled", || async {
             fleet.entry_state(0).await["unsettled_bills"] == 0
         })
--- a/benches/cascade.rs
+++ b/benches/cascade.rs
@@ -21,9 +21,9 @@
 
 const SEEDS: [u64; 5] = [11, 22, 33, 44, 55];
 const REQUESTS: usize = 20_000;
-const SAMPLE: f64 = 0.05;
+const SAMPLE_RATIO: f64 = 0.05;
 /// Ratings of direct answers come so many requests late.
-const LATE: usize = 50;
+const RATING_DELAY_REQUESTS: usize = 50;
 const CHEAP_COST: f64 = 1_000.0;
 const BEST_COST: f64 = 10_000.0;
 const CHEAP_TIME: Duration = Duration::from_secs(2);
@@ -38,7 +38,7 @@
     target: f64,
     deadline: Duration,
     /// The part of the run, from its beginning, after which the rater is away.
-    rater_until: f64,
+    rater_available_until: f64,
 }
 
 const SCENARIOS: [Scenario; 5] = [
@@ -48,7 +48,7 @@
         best: 0.95,
         target: 0.9,
         deadline: Duration::from_secs(60),
-        rater_until: 1.0,
+        rater_available_until: 1.0,
     },
     Scenario {
         name: "cheap poor, then good",
@@ -56,7 +56,7 @@
         best: 0.95,
         target: 0.9,
         deadline: Duration::from_secs(60),
-        rater_until: 1.0,
+        rater_available_until: 1.0,
     },
     Scenario {
         name: "cheap good enough",
@@ -64,7 +64,7 @@
         best: 0.97,
         target: 0.9,
         deadline: Duration::from_secs(60),
-        rater_until: 1.0,
+        rater_available_until: 1.0,
     },
     Scenario {
         name: "deadline too tight for a cascade",
@@ -72,7 +72,7 @@
         best: 0.95,
         target: 0.9,
         deadline: Duration::from_secs(10),
-        rater_until: 1.0,
+        rater_available_until: 1.0,
     },
     Scenario {
         name: "rater away from the middle on",
@@ -80,7 +80,7 @@
         best: 0.95,
         target: 0.9,
         deadline: Duration::from_secs(60),
-        rater_until: 0.5,
+        rater_available_until: 0.5,
     },
 ];
 
@@ -99,7 +99,7 @@
     [Policy::Learnt, Policy::AlwaysBest, Policy::AlwaysCheap, Policy::BestSplit, Policy::Hindsight];
 
 #[derive(Debug, Default, Clone, Copy)]
-struct Figures {
+struct RunResult {
     quality: f64,
     cost: f64,
     late: f64,
@@ -131,11 +131,11 @@
     }
 
     fn has_rater(&self, request: usize) -> bool {
-        (request as f64) < self.scenario.rater_until * REQUESTS as f64
+        (request as f64) < self.scenario.rater_available_until * REQUESTS as f64
     }
 
     /// Whether the answer is good; what was learnt from it is taken in.
-    fn ask(&mut self, request: usize, is_cheap: bool) -> bool {
+    fn run_request(&mut self, request: usize, is_cheap: bool) -> bool {
         let quality = if is_cheap { self.cheap_quality(request) } else { self.scenario.best };
         let (model, cost, time) = if is_cheap {
             (self.cheap.clone(), CHEAP_COST, CHEAP_TIME)
@@ -147,9 +147,9 @@
     }
 
     fn sample(&mut self, request: usize, model: ModelName, is_good: bool) {
-        let is_sampled = self.learner.needs_ratings(&model) || self.rng.random_bool(SAMPLE);
+        let is_sampled = self.learner.needs_ratings(&model) || self.rng.random_bool(SAMPLE_RATIO);
         if is_sampled && self.has_rater(request) {
-            self.ratings.push_back((request + LATE, model, is_good));
+            self.ratings.push_back((request + RATING_DELAY_REQUESTS, model, is_good));
         }
     }
 
@@ -192,8 +192,8 @@
         Plan::Direct(self.best.clone())
     }
 
-    fn run(mut self, policy: Policy) -> Figures {
-        let mut figures = Figures::default();
+    fn run(mut self, policy: Policy) -> RunResult {
+        let mut result = RunResult::default();
         for request in 0..REQUESTS {
             while self.ratings.front().is_some_and(|(due, ..)| *due <= request) {
                 if let Some((_, model, is_good)) = self.ratings.pop_front() {
@@ -203,7 +203,7 @@
             let plan = self.plan(policy, request);
             let is_cheap = *plan.first() == self.cheap;
             let (mut is_good, mut cost, mut time) =
-                (self.ask(request, is_cheap), 0.0, Duration::ZERO);
+                (self.run_request(request, is_cheap), 0.0, Duration::ZERO);
             cost += if is_cheap { CHEAP_COST } else { BEST_COST };
             time += if is_cheap { CHEAP_TIME } else { BEST_TIME };
             match &plan {
@@ -212,18 +212,18 @@
                     // The judge's word is learnt at once.
                     self.learner.rated(first, is_good);
                     if !is_good {
-                        is_good = self.ask(request, false);
+                        is_good = self.run_request(request, false);
                         cost += BEST_COST;
                         time += BEST_TIME;
                         self.sample(request, second.clone(), is_good);
                     }
                 }
             }
-            figures.quality += f64::from(is_good) / REQUESTS as f64;
-            figures.cost += cost / BEST_COST / REQUESTS as f64;
-            figures.late += f64::from(time > self.scenario.deadline) / REQUESTS as f64;
+            result.quality += f64::from(is_good) / REQUESTS as f64;
+            result.cost += cost / BEST_COST / REQUESTS as f64;
+            result.late += f64::from(time > self.scenario.deadline) / REQUESTS as f64;
         }
-        figures
+        result
     }
 }
 
@@ -239,18 +239,18 @@
     ];
     let mut report = Report::new("cascade", &headings);
     for scenario in SCENARIOS {
-        let run = |policy: Policy| -> Vec<Figures> {
+        let run = |policy: Policy| -> Vec<RunResult> {
             SEEDS.iter().map(|seed| World::new(scenario, *seed).run(policy)).collect()
         };
         let hindsight = run(Policy::Hindsight);
         for policy in POLICIES {
-            let figures = run(policy);
-            let spread = |figure: fn(&Figures) -> f64| {
-                let values: Vec<f64> = figures.iter().map(figure).collect();
+            let results = run(policy);
+            let spread = |figure: fn(&RunResult) -> f64| {
+                let values: Vec<f64> = results.iter().map(figure).collect();
                 Spread::of(&values).to_string()
             };
             let ratios: Vec<f64> =
-                figures.iter().zip(&hindsight).map(|(f, h)| f.cost / h.cost).collect();
+                results.iter().zip(&hindsight).map(|(f, h)| f.cost / h.cost).collect();
             report.row([
                 scenario.name.to_owned(),
                 format!("{policy:?}"),
--- a/benches/coordination.rs
+++ b/benches/coordination.rs
@@ -49,7 +49,7 @@
 }
 
 /// Milliseconds from an edit's acceptance until each process has it.
-async fn edit_times(fleet: &Fleet, is_cut: bool) -> Vec<f64> {
+async fn edit_times(fleet: &Fleet, has_outage: bool) -> Vec<f64> {
     let mut times = Vec::new();
     let addr = fleet.entries[0].addr("operators_addr");
     for _ in 0..EDITS {
@@ -60,7 +60,7 @@
         let (status, reply) = fleet.edit(0, &edit).await;
         assert_eq!(status, 200, "{reply}");
         let accepted = Instant::now();
-        if is_cut {
+        if has_outage {
             fleet.platform.set_faults(outage());
         }
         let revision = reply["revision"].as_u64().unwrap_or_default();
@@ -75,8 +75,8 @@
     let mut report = Report::new("edits", &["store", "edits", "p50 ms", "p99 ms", "most ms"]);
     let slow_poll = vec![("platform", "table_poll_ms", 60_000.into())];
     let fleet = Fleet::start(Plan { entry_settings: slow_poll, ..plan() }).await;
-    for (name, is_cut) in [("up", false), ("cut when accepted", true)] {
-        let mut times = edit_times(&fleet, is_cut).await;
+    for (name, has_outage) in [("up", false), ("cut when accepted", true)] {
+        let mut times = edit_times(&fleet, has_outage).await;
         report.row([
             name.to_owned(),
             EDITS.to_string(),
@@ -89,7 +89,7 @@
 }
 
 /// One caller's requests; the identities of those that completed.
-async fn ask(callers: Vec<Caller>, count: usize, first: usize) -> Vec<String> {
+async fn run_caller(callers: Vec<Caller>, count: usize, first: usize) -> Vec<String> {
     let mut completed = Vec::new();
     for number in 0..count {
         let caller = &callers[(first + number) % callers.len()];
@@ -111,8 +111,8 @@
     let mut rng = StdRng::seed_from_u64(SEED);
     let callers = vec![fleet.caller(0), fleet.caller(1)];
     let share = REQUESTS / CALLERS;
-    let asked = (0..CALLERS).map(|first| tokio::spawn(ask(callers.clone(), share, first)));
-    let asked: Vec<_> = asked.collect();
+    let tasks = (0..CALLERS).map(|first| tokio::spawn(run_caller(callers.clone(), share, first)));
+    let tasks: Vec<_> = tasks.collect();
     let (mut sidecar_kills, mut entry_kills) = (0, 0);
     for kill in 0..KILLS {
         tokio::time::sleep(Duration::from_millis(rng.random_range(50..250))).await;
@@ -130,7 +130,7 @@
         }
     }
     let completed: BTreeSet<String> =
-        join_all(asked).await.into_iter().flat_map(|asked| asked.expect("no panic")).collect();
+        join_all(tasks).await.into_iter().flat_map(|task| task.expect("no panic")).collect();
     harness::wait_until("all is settled", || async {
         for host in 0..fleet.hosts.len() {
             if fleet.sidecar_state(host).await["unsettled_bills"] != 0 {
@@ -233,7 +233,7 @@
     report.finish();
 }
 
-async fn measure_leaving() {
+async fn measure_draining() {
     let mut times = Vec::new();
     for _ in 0..10 {
         let fleet = Fleet::start(Plan { services: 0, ..plan() }).await;
@@ -270,6 +270,6 @@
     measure_edits().await;
     measure_claims().await;
     measure_store().await;
-    measure_leaving().await;
+    measure_draining().await;
     measure_ledger().await;
 }
--- a/benches/guard.rs
+++ b/benches/guard.rs
@@ -18,21 +18,21 @@
 use stallhoist_policy::version::split;
 
 const SEEDS: u64 = 200;
-const HEALTHY_ROLL_OUTS: u64 = 2_000;
-const HEALTHY_ANSWERS: u64 = 10_000;
+const HEALTHY_ROLLOUTS: u64 = 2_000;
+const HEALTHY_RESPONSES: u64 = 10_000;
 const UPSTREAMS: usize = 6;
 /// The fleet's requests of this model in one report's time.
-const REQUESTS_A_REPORT: u64 = 50;
-const USUAL_RATE: f64 = 0.02;
+const REQUESTS_PER_REPORT: u64 = 50;
+const BASELINE_BAD_RATE: f64 = 0.02;
 
 /// What is wrong with the new version.
 #[derive(Debug, Clone, Copy)]
 struct Fault {
     name: &'static str,
     /// Failures besides the usual ones.
-    extra_failures: f64,
+    added_failure_rate: f64,
     /// Poor ratings besides the usual ones; a twentieth of answers is rated.
-    extra_poor: f64,
+    added_poor_rate: f64,
     /// Upstreams it shows on.
     upstreams: usize,
     /// Answers after which it begins.
@@ -52,9 +52,9 @@
 
 /// What one roll-out gave.
 #[derive(Debug, Default, Clone, Copy)]
-struct RollOut {
+struct RolloutResult {
     is_held: bool,
-    bad_answers: f64,
+    bad_responses: f64,
     answers: f64,
     exposure: f64,
 }
@@ -72,7 +72,7 @@
         };
         if established {
             for _ in 0..5_000 {
-                world.answer(0, USUAL_RATE, USUAL_RATE);
+                world.answer(0, BASELINE_BAD_RATE, BASELINE_BAD_RATE);
             }
             world.report();
         }
@@ -83,10 +83,10 @@
     /// was bad.
     fn answer(&mut self, version: usize, failure_rate: f64, poor_rate: f64) -> bool {
         let upstream = self.rng.random_range(0..UPSTREAMS);
-        self.answer_at(upstream, version, failure_rate, poor_rate)
+        self.respond_at(upstream, version, failure_rate, poor_rate)
     }
 
-    fn answer_at(&mut self, upstream: usize, version: usize, failures: f64, poor: f64) -> bool {
+    fn respond_at(&mut self, upstream: usize, version: usize, failures: f64, poor: f64) -> bool {
         let counts = &mut self.counts[upstream][version];
         counts.answers += 1;
         let is_failure = self.rng.random_bool(failures);
@@ -106,43 +106,50 @@
         }
     }
 
-    fn facts(&self, share: f64) -> [VersionCandidate; 2] {
-        let facts = |version: &ModelVersion, weight: f64| VersionCandidate {
+    fn version_candidates(&self, share: f64) -> [VersionCandidate; 2] {
+        let candidate = |version: &ModelVersion, weight: f64| VersionCandidate {
             version: version.clone(),
             weight: (weight * 1_000.0) as u32,
             cap_percent: self.guard.cap_percent(version),
             is_held: self.guard.is_held(version),
         };
-        [facts(&self.old, 1.0 - share), facts(&self.new, share)]
+        [candidate(&self.old, 1.0 - share), candidate(&self.new, share)]
     }
 }
 
 /// Until the hold, or `most` requests of the model.
-fn roll_out(seed: u64, fault: Fault, most: u64, is_ramped: bool) -> RollOut {
+fn run_rollout(seed: u64, fault: Fault, max_requests: u64, is_ramped: bool) -> RolloutResult {
     let mut world = World::new(seed, true);
-    let (mut outcome, mut requests) = (RollOut::default(), 0.0);
+    let (mut outcome, mut requests) = (RolloutResult::default(), 0.0);
     if !is_ramped {
         // It has served well for long.
         for _ in 0..2_000 {
-            world.answer(1, USUAL_RATE, USUAL_RATE);
+            world.answer(1, BASELINE_BAD_RATE, BASELINE_BAD_RATE);
         }
         world.report();
     }
-    while (requests as u64) < most && !outcome.is_held {
-        for _ in 0..REQUESTS_A_REPORT {
+    while (requests as u64) < max_requests && !outcome.is_held {
+        for _ in 0..REQUESTS_PER_REPORT {
             requests += 1.0;
-            let facts = world.facts(fault.share);
-            let chosen = split(&facts, &mut world.rng).expect("the old version serves");
+            let version_candidates = world.version_candidates(fault.share);
+            let chosen =
+                split(&version_candidates, &mut world.rng).expect("the old version serves");
             if chosen == world.old {
-                world.answer(0, USUAL_RATE, USUAL_RATE);
+                world.answer(0, BASELINE_BAD_RATE, BASELINE_BAD_RATE);
                 continue;
             }
             outcome.answers += 1.0;
             let upstream = world.rng.random_range(0..UPSTREAMS);
             let is_on = upstream < fault.upstreams && outcome.answers > fault.begins_after as f64;
-            let extra = if is_on { (fault.extra_failures, fault.extra_poor) } else { (0.0, 0.0) };
-            let is_bad = world.answer_at(upstream, 1, USUAL_RATE + extra.0, USUAL_RATE + extra.1);
-            outcome.bad_answers += f64::from(is_bad && is_on);
+            let extra =
+                if is_on { (fault.added_failure_rate, fault.added_poor_rate) } else { (0.0, 0.0) };
+            let is_bad = world.respond_at(
+                upstream,
+                1,
+                BASELINE_BAD_RATE + extra.0,
+                BASELINE_BAD_RATE + extra.1,
+            );
+            outcome.bad_responses += f64::from(is_bad && is_on);
         }
         // Reports come late: the answers above were given before this is known.
         world.report();
@@ -153,12 +160,12 @@
 }
 
 /// Whether a healthy version is ever held over its answers.
-fn is_falsely_held(seed: u64) -> bool {
+fn has_false_hold(seed: u64) -> bool {
     let mut world = World::new(1_000_000 + seed, true);
-    for _ in 0..HEALTHY_ANSWERS / REQUESTS_A_REPORT {
-        for _ in 0..REQUESTS_A_REPORT {
-            world.answer(1, USUAL_RATE, USUAL_RATE);
-            world.answer(0, USUAL_RATE, USUAL_RATE);
+    for _ in 0..HEALTHY_RESPONSES / REQUESTS_PER_REPORT {
+        for _ in 0..REQUESTS_PER_REPORT {
+            world.answer(1, BASELINE_BAD_RATE, BASELINE_BAD_RATE);
+            world.answer(0, BASELINE_BAD_RATE, BASELINE_BAD_RATE);
         }
         world.report();
         if world.guard.is_held(&world.new) {
@@ -170,16 +177,16 @@
 
 /// The baseline: a fixed threshold on the last hundred answers.
 fn threshold_false_holds() -> f64 {
-    let held = (0..HEALTHY_ROLL_OUTS).filter(|seed| {
+    let held = (0..HEALTHY_ROLLOUTS).filter(|seed| {
         let mut rng = StdRng::seed_from_u64(*seed);
         let mut window = std::collections::VecDeque::new();
-        (0..HEALTHY_ANSWERS).any(|_| is_over_threshold(&mut window, &mut rng))
+        (0..HEALTHY_RESPONSES).any(|_| is_over_threshold(&mut window, &mut rng))
     });
-    held.count() as f64 / HEALTHY_ROLL_OUTS as f64
+    held.count() as f64 / HEALTHY_ROLLOUTS as f64
 }
 
 fn is_over_threshold(window: &mut std::collections::VecDeque<bool>, rng: &mut impl Rng) -> bool {
-    window.push_back(rng.random_bool(USUAL_RATE));
+    window.push_back(rng.random_bool(BASELINE_BAD_RATE));
     if window.len() > 100 {
         window.pop_front();
     }
@@ -189,8 +196,8 @@
 fn main() {
     let fault = Fault {
         name: "",
-        extra_failures: 0.2,
-        extra_poor: 0.0,
+        added_failure_rate: 0.2,
+        added_poor_rate: 0.0,
         upstreams: UPSTREAMS,
         begins_after: 0,
         share: 0.2,
@@ -201,12 +208,12 @@
         (Fault { name: "20 % more failures, old, 1 % of traffic", share: 0.01, ..fault }, false),
         (Fault { name: "20 % more failures, old, 20 % of traffic", ..fault }, false),
         (Fault { name: "20 % more failures, old, 99 % of traffic", share: 0.99, ..fault }, false),
-        (Fault { name: "5 % more failures, old", extra_failures: 0.05, ..fault }, false),
+        (Fault { name: "5 % more failures, old", added_failure_rate: 0.05, ..fault }, false),
         (
             Fault {
                 name: "half the answers poor, old",
-                extra_failures: 0.0,
-                extra_poor: 0.5,
+                added_failure_rate: 0.0,
+                added_poor_rate: 0.5,
                 ..fault
             },
             false,
@@ -214,7 +221,7 @@
         (
             Fault {
                 name: "all fail on one upstream, old",
-                extra_failures: 0.9,
+                added_failure_rate: 0.9,
                 upstreams: 1,
                 ..fault
             },
@@ -224,9 +231,9 @@
     let headings = ["fault", "held", "bad answers before the hold", "answers", "share of requests"];
     let mut report = Report::new("guard", &headings);
     for (fault, is_ramped) in faults {
-        let outcomes: Vec<RollOut> =
-            (0..SEEDS).map(|seed| roll_out(seed, fault, 100_000, is_ramped)).collect();
-        let spread = |figure: fn(&RollOut) -> f64| {
+        let outcomes: Vec<RolloutResult> =
+            (0..SEEDS).map(|seed| run_rollout(seed, fault, 100_000, is_ramped)).collect();
+        let spread = |figure: fn(&RolloutResult) -> f64| {
             let values: Vec<f64> = outcomes.iter().map(figure).collect();
             Spread::of(&values).to_string()
         };
@@ -234,19 +241,19 @@
         report.row([
             fault.name.to_owned(),
             format!("{held} of {SEEDS}"),
-            spread(|o| o.bad_answers),
+            spread(|o| o.bad_responses),
             spread(|o| o.answers),
             spread(|o| o.exposure),
         ]);
     }
     report.finish();
-    let held = (0..HEALTHY_ROLL_OUTS).filter(|seed| is_falsely_held(*seed)).count();
+    let held = (0..HEALTHY_ROLLOUTS).filter(|seed| has_false_hold(*seed)).count();
     let mut report = Report::new("false-holds", &["test", "healthy roll-outs", "held"]);
-    report.row(["the guard's".to_owned(), HEALTHY_ROLL_OUTS.to_string(), held.to_string()]);
+    report.row(["the guard's".to_owned(), HEALTHY_ROLLOUTS.to_string(), held.to_string()]);
     report.row([
         "10 bad among the last 100".to_owned(),
-        HEALTHY_ROLL_OUTS.to_string(),
-        format!("{:.0}", threshold_false_holds() * HEALTHY_ROLL_OUTS as f64),
+        HEALTHY_ROLLOUTS.to_string(),
+        format!("{:.0}", threshold_false_holds() * HEALTHY_ROLLOUTS as f64),
     ]);
     report.finish();
 }
--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -30,14 +30,14 @@
 /// Three engines, polls and flushes as often as with default settings.
 fn plan() -> Plan {
     let quiet = quiet();
-    let often = vec![
+    let default_intervals = vec![
         ("bill", "flush_ms", 1_000.into()),
         ("platform", "table_poll_ms", 2_000.into()),
         ("platform", "host_list_poll_ms", 2_000.into()),
     ];
     Plan {
         engines: vec!["m@v1", "m@v1", "m@v1"],
-        entry_settings: [quiet.entry_settings.clone(), often].concat(),
+        entry_settings: [quiet.entry_settings.clone(), default_intervals].concat(),
         ..quiet
     }
 }
@@ -50,7 +50,7 @@
     }))
 }
 
-async fn timed(request: RequestBuilder) -> f64 {
+async fn measure_ms(request: RequestBuilder) -> f64 {
     let began = Instant::now();
     let response = request.send().await.expect("an answer");
     assert_eq!(response.status().as_u16(), 200);
@@ -63,11 +63,11 @@
     let http = reqwest::Client::builder().no_proxy().build().expect("a client can be made");
     let url = fleet.engines[0].url();
     let caller = fleet.caller(0);
-    let one = || async {
+    let run_caller = || async {
         let (mut direct_ms, mut routed_ms) = (Vec::new(), Vec::new());
         for round in 0..ROUNDS / callers + 20 {
-            let plain = timed(direct(&http, &url)).await;
-            let routed = timed(caller.chat("m", "hello", 4, false)).await;
+            let plain = measure_ms(direct(&http, &url)).await;
+            let routed = measure_ms(caller.chat("m", "hello", 4, false)).await;
             // The first few open connections.
             if round >= 20 {
                 direct_ms.push(plain);
@@ -76,7 +76,7 @@
         }
         (direct_ms, routed_ms)
     };
-    let all = join_all((0..callers).map(|_| one())).await;
+    let all = join_all((0..callers).map(|_| run_caller())).await;
     let (direct_ms, routed_ms): (Vec<_>, Vec<_>) = all.into_iter().unzip();
     (direct_ms.concat(), routed_ms.concat())
 }
@@ -106,32 +106,32 @@
     let mut memory = Report::new("memory", &headings);
     let entry = fleet.entries[0].id();
     let sidecar = fleet.hosts[0].sidecar.id();
-    let mut note = |after: usize| {
+    let mut record_memory = |after: usize| {
         memory.row([
             after.to_string(),
             format!("{:.1}", ProcessUsage::of(entry).resident_mib),
             format!("{:.1}", ProcessUsage::of(sidecar).resident_mib),
         ]);
     };
-    note(0);
+    record_memory(0);
     let before = (ProcessUsage::of(entry), ProcessUsage::of(sidecar));
     let began = Instant::now();
     let caller = fleet.caller(0);
-    let parts = 4;
-    for part in 1..=parts {
-        let one = || async {
-            for _ in 0..LONG_RUN / parts / LONG_RUN_CALLERS {
-                timed(caller.chat("m", "hello", 4, false)).await;
+    let segments = 4;
+    for part in 1..=segments {
+        let run_caller = || async {
+            for _ in 0..LONG_RUN / segments / LONG_RUN_CALLERS {
+                measure_ms(caller.chat("m", "hello", 4, false)).await;
             }
         };
-        join_all((0..LONG_RUN_CALLERS).map(|_| one())).await;
+        join_all((0..LONG_RUN_CALLERS).map(|_| run_caller())).await;
         fleet.engines.iter().for_each(|engine| engine.clear_executions());
-        note(LONG_RUN / parts * part);
+        record_memory(LONG_RUN / segments * part);
     }
     let took = began.elapsed();
     // The ledger and the sweeps come to rest.
     tokio::time::sleep(Duration::from_secs(8)).await;
-    note(LONG_RUN);
+    record_memory(LONG_RUN);
     memory.finish();
     let after = (ProcessUsage::of(entry), ProcessUsage::of(sidecar));
     let per_request = |before: ProcessUsage, after: ProcessUsage, requests: usize| {
--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -64,7 +64,7 @@
     engines: usize,
     entries: usize,
     shape: WorkloadShape,
-    slow_engine: f64,
+    first_engine_slowdown: f64,
     frozen: Option<(Duration, Duration)>,
     event_lag: Duration,
     lose_event_every: u64,
@@ -77,7 +77,7 @@
             engines: 20,
             entries: 3,
             shape: WorkloadShape::default(),
-            slow_engine: 1.0,
+            first_engine_slowdown: 1.0,
             frozen: None,
             event_lag: Duration::from_millis(200),
             lose_event_every: 0,
@@ -109,7 +109,7 @@
         Scenario {
             name: "one engine three times slower",
             shape: shape(75.0),
-            slow_engine: 3.0,
+            first_engine_slowdown: 3.0,
             ..Scenario::default()
         },
         Scenario {
@@ -131,7 +131,7 @@
 
 /// What one run of one policy gave.
 #[derive(Debug, Default)]
-struct Figures {
+struct RunResult {
     p95_s: f64,
     p50_s: f64,
     probes_per_request: f64,
@@ -143,7 +143,7 @@
     hosts: Vec<HostId>,
     reported: Vec<usize>,
     in_flight: Vec<Vec<usize>>,
-    next_in_turn: Vec<usize>,
+    round_robin_next: Vec<usize>,
     knowledge: Vec<OwnKnowledge>,
     /// By request: the entry, the upstream, and the work that it was reckoned to be.
     sent_by: HashMap<usize, (usize, usize, PrefillWork)>,
@@ -159,7 +159,7 @@
             ..AdmissionConfig::default()
         };
         let upstream = |number: usize| {
-            let slowdown = if number == 0 { scenario.slow_engine } else { 1.0 };
+            let slowdown = if number == 0 { scenario.first_engine_slowdown } else { 1.0 };
             let times = EngineTimes { slowdown, ..EngineTimes::default() };
             FakeUpstream::new(times, config.clone())
                 .with_cache_events(scenario.event_lag, scenario.lose_event_every)
@@ -171,7 +171,7 @@
             hosts: hosts.collect(),
             reported: vec![0; scenario.engines],
             in_flight: vec![vec![0; scenario.engines]; scenario.entries],
-            next_in_turn: (0..scenario.entries).collect(),
+            round_robin_next: (0..scenario.entries).collect(),
             knowledge: (0..scenario.entries)
                 .map(|entry| OwnKnowledge::new(scenario.engines, seed + entry as u64))
                 .collect(),
@@ -191,16 +191,16 @@
         if self.policy == Policy::OwnKnowledge {
             return self.knowledge[entry].send(now, request);
         }
-        (self.place_without_work(now, entry, request), PrefillWork::default())
+        (self.choose_upstream(now, entry, request), PrefillWork::default())
     }
 
-    fn place_without_work(&mut self, now: MonoTime, entry: usize, request: &FakeRequest) -> usize {
+    fn choose_upstream(&mut self, now: MonoTime, entry: usize, request: &FakeRequest) -> usize {
         match self.policy {
             Policy::Probing => self.probe(now, request),
-            Policy::Oracle | Policy::OwnKnowledge => self.best_of_all(now, request),
+            Policy::Oracle | Policy::OwnKnowledge => self.oracle_choice(now, request),
             Policy::RoundRobin => {
-                self.next_in_turn[entry] += 1;
-                self.next_in_turn[entry] % self.upstreams.len()
+                self.round_robin_next[entry] += 1;
+                self.round_robin_next[entry] % self.upstreams.len()
             }
             Policy::LeastInFlight => {
                 let counts = &self.in_flight[entry];
@@ -223,17 +223,17 @@
             session_host: None,
             affinity_key: request.blocks.first().copied().unwrap_or(request.arrives.0),
         };
-        let asked = plan_probes(&plan, &self.hosts, &mut self.rng);
-        self.probes += asked.len();
+        let probed = plan_probes(&plan, &self.hosts, &mut self.rng);
+        self.probes += probed.len();
         let mut candidates = Vec::new();
-        for host in &asked {
+        for host in &probed {
             let at = self.hosts.iter().position(|h| h == host).unwrap_or_default();
             // A frozen one does not answer within the time.
             if self.upstreams[at].is_frozen {
                 continue;
             }
             let load_requests = u32::try_from(self.upstreams[at].load()).unwrap_or(u32::MAX);
-            let prediction = self.upstreams[at].predict(now, request, far(now));
+            let prediction = self.upstreams[at].predict(now, request, distant_deadline(now));
             candidates.push(Candidate {
                 host: host.clone(),
                 first_token: prediction.first_token,
@@ -249,7 +249,7 @@
     }
 
     /// Knows the true state of everybody, at no cost.
-    fn best_of_all(&mut self, now: MonoTime, request: &FakeRequest) -> usize {
+    fn oracle_choice(&mut self, now: MonoTime, request: &FakeRequest) -> usize {
         let cost = |(at, upstream): (usize, &FakeUpstream)| {
             if upstream.is_frozen {
                 return (Duration::MAX, usize::MAX, at);
@@ -260,7 +260,7 @@
         best.map_or(0, |(.., at)| at)
     }
 
-    fn run(mut self, scenario: &Scenario, requests: &[FakeRequest]) -> Figures {
+    fn run(mut self, scenario: &Scenario, requests: &[FakeRequest]) -> RunResult {
         let mut queue = EventQueue::default();
         for (id, request) in requests.iter().enumerate() {
             queue.add(request.arrives, Event::Arrive(id));
@@ -279,17 +279,17 @@
                     let (at, work) = self.place(now, entry, &requests[id]);
                     self.in_flight[entry][at] += 1;
                     self.sent_by.insert(id, (entry, at, work));
-                    self.upstreams[at].offer(now, id, &requests[id], far(now));
+                    self.upstreams[at].offer(now, id, &requests[id], distant_deadline(now));
                     self.begin(&mut queue, now, at);
                 }
                 Event::StepEnd(at) => {
                     let step = self.upstreams[at].end_step(now);
                     for id in step.first_tokens {
-                        self.note_first_token(id);
+                        self.record_first_token(id);
                         first_tokens[id] = Some(now.since(requests[id].arrives).as_secs_f64());
                     }
                     for id in step.finished {
-                        self.note_end(id);
+                        self.record_end(id);
                     }
                     self.begin(&mut queue, now, at);
                 }
@@ -307,20 +307,20 @@
         }
         let lost = scenario.shape.duration.as_secs_f64();
         let mut times: Vec<f64> = first_tokens.into_iter().map(|t| t.unwrap_or(lost)).collect();
-        Figures {
+        RunResult {
             p95_s: percentile(&mut times, 0.95),
             p50_s: percentile(&mut times, 0.50),
             probes_per_request: self.probes as f64 / requests.len() as f64,
         }
     }
 
-    fn note_first_token(&mut self, id: usize) {
+    fn record_first_token(&mut self, id: usize) {
         if let Some((entry, at, work)) = self.sent_by.get(&id).copied() {
             self.knowledge[entry].first_token(at, work);
         }
     }
 
-    fn note_end(&mut self, id: usize) {
+    fn record_end(&mut self, id: usize) {
         if let Some((entry, at, _)) = self.sent_by.remove(&id) {
             self.in_flight[entry][at] -= 1;
             self.knowledge[entry].request_finished(at);
@@ -334,7 +334,7 @@
     }
 }
 
-fn far(now: MonoTime) -> MonoTime {
+fn distant_deadline(now: MonoTime) -> MonoTime {
     now.after(Duration::from_secs(3_600))
 }
 
@@ -343,29 +343,29 @@
         ["workload", "policy", "p50 s", "p95 s", "p95 / oracle", "p95 / round robin", "probes"];
     let mut report = Report::new("placement", &headings);
     for scenario in scenarios() {
-        let mut by_policy: HashMap<usize, Vec<Figures>> = HashMap::new();
+        let mut by_policy: HashMap<usize, Vec<RunResult>> = HashMap::new();
         for seed in SEEDS {
             let requests = scenario.shape.generate(&mut StdRng::seed_from_u64(seed));
             for (number, policy) in POLICIES.into_iter().enumerate() {
-                let figures = Run::new(policy, &scenario, seed).run(&scenario, &requests);
-                by_policy.entry(number).or_default().push(figures);
+                let results = Run::new(policy, &scenario, seed).run(&scenario, &requests);
+                by_policy.entry(number).or_default().push(results);
             }
         }
         let oracle = 0;
         let round_robin = POLICIES.len() - 1;
         for (number, policy) in POLICIES.into_iter().enumerate() {
-            let figures = &by_policy[&number];
+            let results = &by_policy[&number];
             let against = |other: usize| {
-                let ratios: Vec<f64> = figures
+                let ratios: Vec<f64> = results
                     .iter()
                     .zip(&by_policy[&other])
                     .map(|(f, o)| f.p95_s / o.p95_s)
                     .collect();
                 Spread::of(&ratios).to_string()
             };
-            let p50: Vec<f64> = figures.iter().map(|f| f.p50_s).collect();
-            let p95: Vec<f64> = figures.iter().map(|f| f.p95_s).collect();
-            let probes: Vec<f64> = figures.iter().map(|f| f.probes_per_request).collect();
+            let p50: Vec<f64> = results.iter().map(|f| f.p50_s).collect();
+            let p95: Vec<f64> = results.iter().map(|f| f.p95_s).collect();
+            let probes: Vec<f64> = results.iter().map(|f| f.probes_per_request).collect();
             report.row([
                 scenario.name.to_owned(),
                 format!("{policy:?}"),
--- a/benches/retries.rs
+++ b/benches/retries.rs
@@ -23,10 +23,10 @@
 const ENTRIES: usize = 3;
 const UPSTREAMS: usize = 20;
 const REQUESTS: u64 = 60_000;
-const BETWEEN: Duration = Duration::from_millis(5);
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(5);
 const MAX_ATTEMPTS: u32 = 3;
 /// The sick upstream, from and until which request it fails.
-const SICK: usize = 7;
+const FAILING_UPSTREAM: usize = 7;
 const FAILS_FROM: u64 = 10_000;
 const FAILS_UNTIL: u64 = 40_000;
 
@@ -50,22 +50,24 @@
 }
 
 #[derive(Debug, Default)]
-struct Figures {
+struct RunResult {
     calls: f64,
     failed: f64,
-    calls_to_sick: f64,
-    back_after_s: f64,
-    most_in_first_s: f64,
+    calls_to_failing: f64,
+    readmitted_after_s: f64,
+    calls_in_first_s: f64,
 }
 
 fn fails(fault: Fault, upstream: usize, request: u64) -> bool {
     match fault {
         Fault::All => true,
-        Fault::OneOfTwenty => upstream == SICK && (FAILS_FROM..FAILS_UNTIL).contains(&request),
+        Fault::OneOfTwenty => {
+            upstream == FAILING_UPSTREAM && (FAILS_FROM..FAILS_UNTIL).contains(&request)
+        }
     }
 }
 
-fn run(policy: Policy, fault: Fault, seed: u64) -> Figures {
+fn run(policy: Policy, fault: Fault, seed: u64) -> RunResult {
     let mut rng = StdRng::seed_from_u64(seed);
     let hosts: Vec<HostId> =
         (0..UPSTREAMS).map(|n| format!("host-{n}").parse().expect("a name")).collect();
@@ -74,11 +76,11 @@
         ejection: Ejection::new(EjectionConfig::default()),
     };
     let mut entries: Vec<Entry> = (0..ENTRIES).map(|_| entry()).collect();
-    let mut figures = Figures::default();
+    let mut result = RunResult::default();
     let mut now = MonoTime::default();
-    let (mut sick_calls, mut first_back, mut in_first_s) = (0_u64, None, 0_u64);
+    let (mut failing_calls, mut readmitted_at, mut in_first_s) = (0_u64, None, 0_u64);
     for request in 0..REQUESTS {
-        now = now.after(BETWEEN);
+        now = now.after(ARRIVAL_INTERVAL);
         let entry = &mut entries[rng.random_range(0..ENTRIES)];
         entry.budget.request();
         let mut avoid = BTreeSet::new();
@@ -92,22 +94,22 @@
             let fresh: Vec<_> = usable.iter().filter(|host| !avoid.contains(*host)).collect();
             let host = fresh[rng.random_range(0..fresh.len())].clone();
             let upstream = hosts.iter().position(|h| *h == host).unwrap_or_default();
-            figures.calls += 1.0;
+            result.calls += 1.0;
             entry.ejection.sent(&host);
-            if upstream == SICK && (FAILS_FROM..FAILS_UNTIL).contains(&request) {
-                sick_calls += 1;
+            if upstream == FAILING_UPSTREAM && (FAILS_FROM..FAILS_UNTIL).contains(&request) {
+                failing_calls += 1;
             }
             if !fails(fault, upstream, request) {
-                if upstream == SICK && request >= FAILS_UNTIL {
-                    let back = *first_back.get_or_insert(now);
-                    in_first_s += u64::from(now.since(back) < Duration::from_secs(1));
+                if upstream == FAILING_UPSTREAM && request >= FAILS_UNTIL {
+                    let readmitted = *readmitted_at.get_or_insert(now);
+                    in_first_s += u64::from(now.since(readmitted) < Duration::from_secs(1));
                 }
                 entry.ejection.succeeded(&host);
                 break true;
             }
             entry.ejection.failed(now, &host, &mut rng);
             avoid.insert(host);
-            let facts = AttemptOutcome {
+            let attempt = AttemptOutcome {
                 is_repeatable: true,
                 is_proved_not_run: false,
                 is_delivered: false,
@@ -116,19 +118,20 @@
                 max_attempts: MAX_ATTEMPTS,
             };
             let has_budget = || policy == Policy::AlwaysThree || entry.budget.take();
-            if !may_retry(facts, has_budget) {
+            if !may_retry(attempt, has_budget) {
                 break false;
             }
         };
-        figures.failed += f64::from(!is_answered);
+        result.failed += f64::from(!is_answered);
     }
-    let healed = MonoTime::default().after(BETWEEN * FAILS_UNTIL as u32);
-    figures.calls /= REQUESTS as f64;
-    figures.failed /= REQUESTS as f64;
-    figures.calls_to_sick = sick_calls as f64 / (FAILS_UNTIL - FAILS_FROM) as f64;
-    figures.back_after_s = first_back.map_or(f64::NAN, |back| back.since(healed).as_secs_f64());
-    figures.most_in_first_s = in_first_s as f64;
-    figures
+    let recovered_at = MonoTime::default().after(ARRIVAL_INTERVAL * FAILS_UNTIL as u32);
+    result.calls /= REQUESTS as f64;
+    result.failed /= REQUESTS as f64;
+    result.calls_to_failing = failing_calls as f64 / (FAILS_UNTIL - FAILS_FROM) as f64;
+    result.readmitted_after_s =
+        readmitted_at.map_or(f64::NAN, |readmitted| readmitted.since(recovered_at).as_secs_f64());
+    result.calls_in_first_s = in_first_s as f64;
+    result
 }
 
 fn main() {
@@ -144,10 +147,10 @@
     let mut report = Report::new("retries", &headings);
     for fault in [Fault::All, Fault::OneOfTwenty] {
         for policy in [Policy::BudgetAndEjection, Policy::AlwaysThree] {
-            let figures: Vec<Figures> =
+            let results: Vec<RunResult> =
                 SEEDS.iter().map(|seed| run(policy, fault, *seed)).collect();
-            let spread = |figure: fn(&Figures) -> f64| {
-                let values: Vec<f64> = figures.iter().map(figure).collect();
+            let spread = |figure: fn(&RunResult) -> f64| {
+                let values: Vec<f64> = results.iter().map(figure).collect();
                 format!("{:.4}", Spread::of(&values).median)
             };
             report.row([
@@ -155,9 +158,9 @@
                 format!("{policy:?}"),
                 spread(|f| f.calls),
                 spread(|f| f.failed),
-                spread(|f| f.calls_to_sick),
-                spread(|f| f.back_after_s),
-                spread(|f| f.most_in_first_s),
+                spread(|f| f.calls_to_failing),
+                spread(|f| f.readmitted_after_s),
+                spread(|f| f.calls_in_first_s),
             ]);
         }
     }
--- a/benches/rollout.rs
+++ b/benches/rollout.rs
@@ -18,30 +18,31 @@
 use stallhoist_policy::rollout::RequestKind;
 use stallhoist_policy::rollout::RolloutEvidence;
 
-const BAD_ROLL_OUTS: u64 = 60;
-const GOOD_ROLL_OUTS: u64 = 1_000;
+const BAD_ROLLOUTS: u64 = 60;
+const GOOD_ROLLOUTS: u64 = 1_000;
 /// Of each version.
 const ENGINES: usize = 9;
 /// Streams a second of the whole service, and how many more in a burst.
-const STREAMS_A_SECOND: f64 = 60.0;
-const BURST: f64 = 2.5;
+const STREAMS_PER_S: f64 = 60.0;
+const BURST_FACTOR: f64 = 2.5;
 /// The calm time before the order, and how long a version is observed.
 const CALM_S: f64 = 10.0;
-const OBSERVED_S: f64 = 21.0;
+const OBSERVATION_S: f64 = 21.0;
 const NEW_SHARE: f64 = 0.03;
-const EVENTS: f64 = 50.0;
+const CHUNKS_PER_STREAM: f64 = 50.0;
 /// Of an engine: the pause between parts when it is idle, and what a request adds. With 10
 /// requests in progress that is 30 ms, with 100 in a burst 120, as of the engines that were seen.
-const IDLE_PAUSE_MS: f64 = 20.0;
-const PAUSE_MS_A_REQUEST: f64 = 1.0;
-const TELL_EVERY_S: f64 = 0.5;
-const PACE: RequestKind = RequestKind { route: None, model: None, part: LatencyKind::Pause };
+const IDLE_TOKEN_INTERVAL_MS: f64 = 20.0;
+const INTERVAL_MS_PER_REQUEST: f64 = 1.0;
+const UPDATE_INTERVAL_S: f64 = 0.5;
+const TOKEN_INTERVAL: RequestKind =
+    RequestKind { route: None, model: None, part: LatencyKind::Pause };
 
 /// What a roll-out meets.
 #[derive(Debug, Clone, Copy)]
 struct Setting {
     /// How many times as long the new version's answers take, and the part of them.
-    times: f64,
+    slowdown: f64,
     part: f64,
     /// The part of its answers that fail.
     failures: f64,
@@ -50,112 +51,117 @@
     /// Half of the entries start anew in the middle.
     has_restarts: bool,
     /// The part of the old version's engines that are four times as slow.
-    slow_old: f64,
+    slow_old_ratio: f64,
     /// Whether the evidence is told the loads.
-    tells_load: bool,
+    reports_load: bool,
 }
 
-const USUAL: Setting = Setting {
-    times: 1.0,
+const DEFAULTS: Setting = Setting {
+    slowdown: 1.0,
     part: 1.0,
     failures: 0.0,
     is_burst: false,
     entries: 3,
     has_restarts: false,
-    slow_old: 0.0,
-    tells_load: true,
+    slow_old_ratio: 0.0,
+    reports_load: true,
 };
 
 /// An entry, and what it has told of its counts.
 struct Entry {
     evidence: RolloutEvidence,
-    told: EvidenceTotals,
+    last_sent: EvidenceTotals,
 }
 
 struct World {
     setting: Setting,
     rng: StdRng,
     entries: Vec<Entry>,
-    bad_answers: u32,
+    bad_responses: u32,
 }
 
 /// When a version was called worse, and how many of its answers had been bad by then.
 #[derive(Debug, Clone, Copy)]
-struct Verdict {
+struct RolloutDecision {
     after_s: f64,
-    bad_answers: u32,
+    bad_responses: u32,
 }
 
 impl World {
     fn new(setting: Setting, seed: u64) -> Self {
         let entry =
-            || Entry { evidence: RolloutEvidence::default(), told: EvidenceTotals::default() };
+            || Entry { evidence: RolloutEvidence::default(), last_sent: EvidenceTotals::default() };
         let entries = (0..setting.entries).map(|_| entry()).collect();
-        Self { setting, rng: StdRng::seed_from_u64(seed), entries, bad_answers: 0 }
+        Self { setting, rng: StdRng::seed_from_u64(seed), entries, bad_responses: 0 }
     }
 
     /// Plays the calm time and the roll-out, until a verdict.
-    fn run(mut self) -> Option<Verdict> {
+    fn run(mut self) -> Option<RolloutDecision> {
         let mut now_s = 0.0;
-        let mut next_tell_s = CALM_S;
+        let mut next_update_s = CALM_S;
         let mut has_restarted = false;
-        while now_s < CALM_S + OBSERVED_S {
+        while now_s < CALM_S + OBSERVATION_S {
             let is_observed = now_s >= CALM_S;
             let is_burst = is_observed && self.setting.is_burst;
-            let rate = STREAMS_A_SECOND * if is_burst { BURST } else { 1.0 };
+            let rate = STREAMS_PER_S * if is_burst { BURST_FACTOR } else { 1.0 };
             now_s -= self.rng.random_range(f64::EPSILON..1.0).ln() / rate;
             let is_new = is_observed && self.rng.random_bool(NEW_SHARE);
             self.answer(is_new, rate);
-            if self.setting.has_restarts && !has_restarted && now_s > CALM_S + OBSERVED_S / 4.0 {
+            if self.setting.has_restarts && !has_restarted && now_s > CALM_S + OBSERVATION_S / 4.0 {
                 has_restarted = true;
                 self.restart_half();
             }
-            if is_observed && now_s >= next_tell_s {
-                next_tell_s += TELL_EVERY_S;
-                self.tell();
+            if is_observed && now_s >= next_update_s {
+                next_update_s += UPDATE_INTERVAL_S;
+                self.exchange_counts();
             }
             if is_observed && self.entries.iter().any(|entry| entry.evidence.is_bad()) {
-                return Some(Verdict { after_s: now_s - CALM_S, bad_answers: self.bad_answers });
+                return Some(RolloutDecision {
+                    after_s: now_s - CALM_S,
+                    bad_responses: self.bad_responses,
+                });
             }
         }
         None
     }
 
     fn answer(&mut self, is_new: bool, rate: f64) {
-        let Setting { times, part, failures, slow_old, tells_load, .. } = self.setting;
-        let is_slow = is_new && times > 1.0 && self.rng.random_bool(part);
-        let times = match is_new {
-            true if is_slow => times,
-            false if self.rng.random_bool(slow_old) => 4.0,
+        let Setting { slowdown, part, failures, slow_old_ratio, reports_load, .. } = self.setting;
+        let is_slow = is_new && slowdown > 1.0 && self.rng.random_bool(part);
+        let slowdown = match is_new {
+            true if is_slow => slowdown,
+            false if self.rng.random_bool(slow_old_ratio) => 4.0,
             _ => 1.0,
         };
         let load = self.load(rate * if is_new { NEW_SHARE } else { 1.0 - NEW_SHARE });
         let noise = self.rng.random_range(0.85..1.3);
-        let pause_ms = (IDLE_PAUSE_MS + PAUSE_MS_A_REQUEST * f64::from(load)) * times * noise;
+        let interval_ms =
+            (IDLE_TOKEN_INTERVAL_MS + INTERVAL_MS_PER_REQUEST * f64::from(load)) * slowdown * noise;
         let is_failed = is_new && self.rng.random_bool(failures);
-        self.bad_answers += u32::from(is_slow || is_failed);
+        self.bad_responses += u32::from(is_slow || is_failed);
         let observation = if is_failed {
             Observation::Failed
         } else {
-            Observation::Paced(Duration::from_secs_f64(pause_ms / 1e3))
+            Observation::Paced(Duration::from_secs_f64(interval_ms / 1e3))
         };
-        let told_load = if tells_load { load } else { 1 };
+        let reported_load = if reports_load { load } else { 1 };
         let entry = self.rng.random_range(0..self.entries.len());
         let evidence = &mut self.entries[entry].evidence;
         if is_new {
-            evidence.new_version(&PACE, told_load, observation);
+            evidence.new_version(&TOKEN_INTERVAL, reported_load, observation);
         } else {
-            evidence.old_version(&PACE, told_load, observation);
+            evidence.old_version(&TOKEN_INTERVAL, reported_load, observation);
         }
     }
 
     /// Requests in progress at an engine: the rate times their duration, which grows with them.
     fn load(&mut self, rate: f64) -> u32 {
-        let rate_an_engine = rate / ENGINES as f64;
+        let rate_per_engine = rate / ENGINES as f64;
         let mut mean: f64 = 1.0;
         for _ in 0..20 {
-            let duration_s = EVENTS * (IDLE_PAUSE_MS + PAUSE_MS_A_REQUEST * mean) / 1e3;
-            mean = (rate_an_engine * duration_s).clamp(0.0, 128.0);
+            let duration_s =
+                CHUNKS_PER_STREAM * (IDLE_TOKEN_INTERVAL_MS + INTERVAL_MS_PER_REQUEST * mean) / 1e3;
+            mean = (rate_per_engine * duration_s).clamp(0.0, 128.0);
         }
         let spread = mean.sqrt() * self.rng.random_range(-1.7..1.7);
         (mean + spread).round().max(1.0) as u32
@@ -166,57 +172,57 @@
         let (lost, kept) = self.entries.split_at_mut(self.setting.entries.div_ceil(2));
         for entry in lost {
             entry.evidence = RolloutEvidence::default();
-            entry.told = EvidenceTotals::default();
+            entry.last_sent = EvidenceTotals::default();
             for (kind, known) in kept.iter().flat_map(|other| other.evidence.baseline_updates()) {
                 entry.evidence.apply_baseline_update(kind.clone(), known);
             }
         }
     }
 
-    fn tell(&mut self) {
-        let news: Vec<_> = self
+    fn exchange_counts(&mut self) {
+        let updates: Vec<_> = self
             .entries
             .iter_mut()
             .map(|entry| {
-                let own = entry.evidence.own();
-                let news = own.since(entry.told);
-                entry.told = own;
-                news
+                let local = entry.evidence.own();
+                let updates = local.since(entry.last_sent);
+                entry.last_sent = local;
+                updates
             })
             .collect();
         for (n, entry) in self.entries.iter_mut().enumerate() {
-            for (_, news) in news.iter().enumerate().filter(|(of, _)| *of != n) {
-                entry.evidence.add_peer_counts(*news);
+            for (_, updates) in updates.iter().enumerate().filter(|(of, _)| *of != n) {
+                entry.evidence.add_peer_counts(*updates);
             }
         }
     }
 }
 
-fn verdicts(setting: Setting, count: u64) -> Vec<Verdict> {
+fn decisions(setting: Setting, count: u64) -> Vec<RolloutDecision> {
     (0..count).filter_map(|seed| World::new(setting, seed).run()).collect()
 }
 
 fn bad_row(report: &mut Report, name: &str, setting: Setting) {
-    let verdicts = verdicts(setting, BAD_ROLL_OUTS);
-    let mut times: Vec<_> = verdicts.iter().map(|verdict| verdict.after_s).collect();
-    let mut answers: Vec<_> = verdicts.iter().map(|v| f64::from(v.bad_answers)).collect();
+    let decisions = decisions(setting, BAD_ROLLOUTS);
+    let mut times_s: Vec<_> = decisions.iter().map(|decision| decision.after_s).collect();
+    let mut answers: Vec<_> = decisions.iter().map(|v| f64::from(v.bad_responses)).collect();
     report.row([
         name.to_owned(),
-        format!("{:.1}", setting.times),
+        format!("{:.1}", setting.slowdown),
         format!("{:.1}", setting.part),
         setting.entries.to_string(),
-        format!("{} of {BAD_ROLL_OUTS}", verdicts.len()),
-        format!("{:.1}", percentile(&mut times, 0.5)),
-        format!("{:.1}", percentile(&mut times, 0.9)),
+        format!("{} of {BAD_ROLLOUTS}", decisions.len()),
+        format!("{:.1}", percentile(&mut times_s, 0.5)),
+        format!("{:.1}", percentile(&mut times_s, 0.9)),
         format!("{:.0}", percentile(&mut answers, 0.5)),
         format!("{:.0}", percentile(&mut answers, 0.9)),
     ]);
 }
 
 fn good_row(report: &mut Report, name: &str, setting: Setting) {
-    let called = verdicts(setting, GOOD_ROLL_OUTS).len();
+    let called = decisions(setting, GOOD_ROLLOUTS).len();
     let entries = setting.entries.to_string();
-    report.row([name.to_owned(), entries, format!("{called} of {GOOD_ROLL_OUTS}")]);
+    report.row([name.to_owned(), entries, format!("{called} of {GOOD_ROLLOUTS}")]);
 }
 
 fn bad_versions() {
@@ -234,21 +240,21 @@
     let mut report = Report::new("rollout_bad", &headings);
     for is_burst in [false, true] {
         let name = if is_burst { "a burst" } else { "nothing" };
-        for times in [1.5, 2.0, 2.5, 3.0, 5.0, 8.0] {
-            bad_row(&mut report, name, Setting { times, is_burst, ..USUAL });
+        for slowdown in [1.5, 2.0, 2.5, 3.0, 5.0, 8.0] {
+            bad_row(&mut report, name, Setting { slowdown, is_burst, ..DEFAULTS });
         }
-        bad_row(&mut report, name, Setting { times: 3.0, part: 0.6, is_burst, ..USUAL });
+        bad_row(&mut report, name, Setting { slowdown: 3.0, part: 0.6, is_burst, ..DEFAULTS });
         for entries in [1, 30] {
-            bad_row(&mut report, name, Setting { times: 3.0, entries, is_burst, ..USUAL });
+            bad_row(&mut report, name, Setting { slowdown: 3.0, entries, is_burst, ..DEFAULTS });
         }
     }
-    let burst = Setting { times: 3.0, is_burst: true, ..USUAL };
+    let burst = Setting { slowdown: 3.0, is_burst: true, ..DEFAULTS };
     bad_row(&mut report, "a burst, restarts", Setting { has_restarts: true, ..burst });
-    bad_row(&mut report, "slow old engines", Setting { slow_old: 0.3, ..burst });
-    bad_row(&mut report, "a burst, loads not told", Setting { tells_load: false, ..burst });
+    bad_row(&mut report, "slow old engines", Setting { slow_old_ratio: 0.3, ..burst });
+    bad_row(&mut report, "a burst, loads not told", Setting { reports_load: false, ..burst });
     for failures in [0.02, 0.1, 0.3, 1.0] {
         let name = format!("failures of {failures}");
-        bad_row(&mut report, &name, Setting { failures, ..USUAL });
+        bad_row(&mut report, &name, Setting { failures, ..DEFAULTS });
     }
     report.finish();
 }
@@ -256,13 +262,13 @@
 fn good_versions() {
     let mut report = Report::new("rollout_good", &["beside", "entries", "called worse"]);
     for entries in [1, 3, 30] {
-        good_row(&mut report, "nothing", Setting { entries, ..USUAL });
-        good_row(&mut report, "a burst", Setting { entries, is_burst: true, ..USUAL });
+        good_row(&mut report, "nothing", Setting { entries, ..DEFAULTS });
+        good_row(&mut report, "a burst", Setting { entries, is_burst: true, ..DEFAULTS });
     }
-    let burst = Setting { is_burst: true, ..USUAL };
+    let burst = Setting { is_burst: true, ..DEFAULTS };
     good_row(&mut report, "a burst, restarts", Setting { has_restarts: true, ..burst });
-    good_row(&mut report, "slow old engines", Setting { slow_old: 0.3, ..USUAL });
-    good_row(&mut report, "a burst, loads not told", Setting { tells_load: false, ..burst });
+    good_row(&mut report, "slow old engines", Setting { slow_old_ratio: 0.3, ..DEFAULTS });
+    good_row(&mut report, "a burst, loads not told", Setting { reports_load: false, ..burst });
     report.finish();
 }
 
--- a/benches/store_return.rs
+++ b/benches/store_return.rs
@@ -21,8 +21,8 @@
 use stallhoist_users_platform::PlatformStore;
 
 /// Long enough for what is missing to be given up, and for the whole to be read again.
-const WATCHED: Duration = Duration::from_secs(8);
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const OBSERVATION: Duration = Duration::from_secs(8);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const ROUTES: usize = 150;
 /// More writes than the versions go back.
 const WRITES: usize = 200;
@@ -79,10 +79,10 @@
         response.json().await.expect("it is JSON")
     }
 
-    async fn all(&self, is_so: impl Fn(&Value) -> bool) {
+    async fn wait_until_all(&self, condition: impl Fn(&Value) -> bool) {
         for entry in &self.entries {
-            while !is_so(&self.state(entry).await) {
-                tokio::time::sleep(LOOK_EVERY).await;
+            while !condition(&self.state(entry).await) {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
@@ -92,39 +92,39 @@
     }
 
     /// The calls of some seconds.
-    async fn calls_while(&self, watched: Duration) -> usize {
+    async fn calls_during(&self, period: Duration) -> usize {
         let before = self.calls();
-        tokio::time::sleep(watched).await;
+        tokio::time::sleep(period).await;
         self.calls() - before
     }
 }
 
 async fn row(report: &mut Report, count: usize) {
     let fleet = Fleet::start(count).await;
-    fleet.all(|state| state["config_version"] == 1 && state["entries"] == count).await;
+    fleet.wait_until_all(|state| state["config_version"] == 1 && state["entries"] == count).await;
     // The first seconds of a fleet have calls of their own.
-    tokio::time::sleep(2 * WATCHED).await;
-    let at_rest = fleet.calls_while(WATCHED).await;
+    tokio::time::sleep(2 * OBSERVATION).await;
+    let idle_calls = fleet.calls_during(OBSERVATION).await;
     let copy = fleet.store.copy();
     for n in 0..WRITES {
         fleet.store.put("op", &format!("other/{n}"), json!({}));
     }
     fleet.store.put("op", "config", config(2));
-    fleet.all(|state| state["config_version"] == 2).await;
+    fleet.wait_until_all(|state| state["config_version"] == 2).await;
     let before = fleet.calls();
     let began = Instant::now();
     fleet.store.restore_from(copy);
     fleet.store.put("op", "config", config(3));
-    fleet.all(|state| state["config_version"] == 3).await;
-    let in_force = began.elapsed();
-    let until_then = fleet.calls() - before;
-    tokio::time::sleep(WATCHED.saturating_sub(began.elapsed())).await;
+    fleet.wait_until_all(|state| state["config_version"] == 3).await;
+    let active_after = began.elapsed();
+    let calls_until_active = fleet.calls() - before;
+    tokio::time::sleep(OBSERVATION.saturating_sub(began.elapsed())).await;
     report.row([
         count.to_string(),
-        format!("{:.2}", in_force.as_secs_f64()),
-        until_then.to_string(),
+        format!("{:.2}", active_after.as_secs_f64()),
+        calls_until_active.to_string(),
         (fleet.calls() - before).to_string(),
-        at_rest.to_string(),
+        idle_calls.to_string(),
     ]);
 }
 
