--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -1,10 +1,10 @@
 //! Admission at one upstream under overload, in virtual time:
 //! `cargo bench --bench admission`.
 //!
-//! Capacity is what the engine completes with work always waiting and the concurrency
-//! held to the token interval. Goodput is what completes in time: the first token
-//! within 1.8 s and the whole answer by its deadline. Refused callers come back once,
-//! when they were told to.
+//! Capacity is the rate of completed requests while requests are always queued and the concurrency is
+//! limited by the target for the token interval. Goodput is the rate of requests that complete in time:
+//! the first token within 1.8 s and the complete response by its deadline. A refused request is retried
+//! once, after the `retry_after` of its refusal.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -29,14 +29,14 @@
 const SEEDS: [u64; 5] = [11, 22, 33, 44, 55];
 const FIRST_TOKEN_TARGET: Duration = Duration::from_millis(1_800);
 const TOKEN_INTERVAL_TARGET: Duration = Duration::from_millis(43);
-/// What is learnt in this time is not counted.
+/// Requests that arrive in this time are not counted, as the controller still learns the engine's speed.
 const WARM_UP: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Policy {
-    /// The sidecar's.
+    /// The sidecar's admission control.
     Admission(QueueOrder),
-    /// Everything waits in the order it came.
+    /// Queues every request, in order of arrival.
     Unbounded,
 }
 
@@ -68,10 +68,11 @@
 enum Event {
     Arrive(usize),
     StepEnd,
+    /// The admission controller has to reconsider its queue.
     PumpDue,
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, Copy, Default)]
 struct RequestOutcome {
     offered: Option<MonoTime>,
@@ -104,7 +105,7 @@
 impl Run {
     fn new(policy: Policy, requests: &[FakeRequest], seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed + 1);
-        // Time for the answer at the target's pace, and some slack.
+        // Time for the response at the target token interval, plus some slack.
         let deadline = |request: &FakeRequest| {
             let slack = Duration::from_millis(rng.random_range(500..3_000));
             slack + TOKEN_INTERVAL_TARGET.mul_f64(request.completion_tokens as f64)
@@ -150,7 +151,7 @@
 
     fn arrive(&mut self, now: MonoTime, id: usize, request: &FakeRequest) {
         let is_retry = self.outcomes[id].retries > 0;
-        // What is not bounded knows no deadlines either.
+        // The unbounded baseline has no deadlines either.
         let is_bounded = self.policy.is_bounded();
         let deadline = if is_bounded { self.deadlines[id] } else { Duration::from_secs(1_000_000) };
         let deadline = now.after(deadline);
@@ -236,7 +237,7 @@
     WorkloadShape { rate_per_s, duration: Duration::from_secs(180), ..WorkloadShape::default() }
 }
 
-/// What the engine completes with work always waiting, in requests a second.
+/// Requests per second that the engine completes while requests are always queued.
 fn capacity(seed: u64) -> f64 {
     let shape = shape(40.0);
     let requests = shape.generate(&mut StdRng::seed_from_u64(seed));
--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -1,8 +1,8 @@
-//! Slopes of what each role costs: `cargo bench --bench capacity`.
+//! Marginal cost of each role, in processor time, memory and bytes: `cargo bench --bench capacity`.
 //!
-//! Real processes, release build. Each measurement varies one thing over at least four
-//! points, fits a line and prints its worst residual. `docs/CAPACITY.md` multiplies the
-//! slopes. Two plots are written beside the CSV files.
+//! Runs real processes in a release build. Each measurement varies one parameter over at least four
+//! points, fits a line and prints its largest residual. `docs/CAPACITY.md` computes capacity from the
+//! slopes. Two plots are written next to the CSV files.
 
 #[allow(dead_code, unused_imports)]
 #[path = "../tests/all/harness/mod.rs"]
@@ -41,12 +41,12 @@
 
 use prost::Message;
 
-/// Fewer than a connection lets wait, so that no answer is dropped.
+/// Fewer than the responses that a connection queues, so that none is dropped.
 const MESSAGES_PER_BATCH: usize = 500;
 const STREAMS: u64 = 100;
 const EDITS_PER_TABLE: usize = 200;
 
-/// Waits for a figure of a sidecar's state.
+/// Waits until a counter in a sidecar's state satisfies `reached`.
 async fn wait_state(fleet: &Fleet, key: &str, reached: impl Fn(u64) -> bool) {
     harness::wait_until(key, || async {
         reached(fleet.sidecar_state(0).await[key].as_u64().unwrap_or_default())
@@ -58,8 +58,7 @@
     (after.processor - before.processor).as_secs_f64() * 1e6
 }
 
-/// Processor time of a sidecar for each message that `make` makes; `settle` waits until
-/// all have been taken.
+/// Processor time of a sidecar for each message that `make` returns.
 async fn per_message(
     fleet: &Fleet,
     peer: &mut FakeEntry,
@@ -74,7 +73,7 @@
             for number in 0..MESSAGES_PER_BATCH {
                 peer.send(make(part * MESSAGES_PER_BATCH + number)).await;
             }
-            // A probe behind them: its answer says that they have been taken.
+            // Messages are handled in order: the reply to this probe shows that all before it were handled.
             let last = Probe { probe_id: u64::MAX, target: "m@v1".to_owned(), ..Probe::default() };
             peer.send(Body::Probe(last)).await;
             peer.receive(|body| match body {
@@ -91,7 +90,7 @@
 async fn sidecar_messages() -> Vec<Slope> {
     let fleet = Fleet::start(quiet()).await;
     let mut peer = FakeEntry::connect(fleet.hosts[0].sidecar.addr("entries_addr")).await;
-    // The first messages warm up what is made once.
+    // The first messages also pay for one-time initialization; they are discarded.
     per_message(&fleet, &mut peer, "", probe).await;
     vec![
         per_message(&fleet, &mut peer, "sidecar, a probe", probe).await,
@@ -119,11 +118,11 @@
     Slope { name: "sidecar, an edit of a small table", unit: "us of processor", points }
 }
 
-/// What rows of the table cost a sidecar: in memory, and in each edit.
+/// Cost of table rows at a sidecar: memory, and processor time in each edit.
 async fn sidecar_rows() -> Vec<Slope> {
     let (mut memory, mut edits) = (Vec::new(), Vec::new());
     for rows in [50_usize, 200, 800, 1_600] {
-        // The harness takes texts that live as long as the program, as benches do.
+        // The harness takes `&'static str`.
         let cell = |n: usize| -> &'static str { format!("w{n}/x@v1/weight").leak() };
         let cells = (0..rows).map(|n| (cell(n), "3")).collect();
         let fleet = Fleet::start(Plan { cells, ..quiet() }).await;
@@ -144,7 +143,7 @@
     ]
 }
 
-/// Memory of a sidecar against what it holds.
+/// Memory of a sidecar by the number of items that it holds.
 async fn sidecar_memory(name: &'static str, key: &str, make: impl Fn(usize) -> Body) -> Slope {
     let fleet = Fleet::start(quiet()).await;
     let sidecar = fleet.hosts[0].sidecar.id();
@@ -161,7 +160,7 @@
     Slope { name, unit: "KiB of memory", points }
 }
 
-/// Idle cost of connections at a sidecar: entries that only say their status.
+/// Cost of idle connections at a sidecar, from entries that send only their status.
 async fn sidecar_connections() -> Vec<Slope> {
     let fleet = Fleet::start(quiet()).await;
     let sidecar = fleet.hosts[0].sidecar.id();
@@ -214,7 +213,7 @@
     links.iter().filter_map(|link| link["control_sent_bytes"].as_f64()).sum()
 }
 
-/// Idle cost of connections at an entry, over real sidecars.
+/// Cost of idle connections at an entry, to real sidecars.
 async fn entry_connections() -> Vec<Slope> {
     let (mut processor, mut memory, mut bytes) = (Vec::new(), Vec::new(), Vec::new());
     for count in [4_usize, 12, 24, 48] {
@@ -229,7 +228,7 @@
         };
         let fleet = Fleet::start(plan).await;
         let entry = fleet.entries[0].id();
-        // The start's own work comes to rest first.
+        // Lets the work of starting up finish.
         tokio::time::sleep(Duration::from_secs(2)).await;
         let sent_before = link_bytes(&fleet.entry_state(0).await);
         let before = ProcessUsage::of(entry);
@@ -258,7 +257,7 @@
     ]
 }
 
-/// What a request costs entry and sidecar, and in control bytes and store calls.
+/// Cost of a request: processor time of entry and sidecar, control bytes, and store writes.
 async fn requests() -> Vec<Slope> {
     let plan = Plan {
         engines: vec!["m@v1", "m@v1", "m@v1"],
@@ -276,11 +275,11 @@
         let writes_before = fleet.platform.counts().writes;
         let run_caller = || async {
             for _ in 0..count / 8 {
-                send(caller.chat("m", "hello", 4, false)).await.expect("an answer");
+                send(caller.chat("m", "hello", 4, false)).await.expect("a response");
             }
         };
         join_all((0..8).map(|_| run_caller())).await;
-        harness::wait_until("all is settled", || async {
+        harness::wait_until("all bills are settled", || async {
             fleet.entry_state(0).await["unsettled_bills"] == 0
         })
         .await;
@@ -300,7 +299,8 @@
     ]
 }
 
-/// What a streamed token costs entry and sidecar, without the request around it.
+/// Processor time of entry and sidecar for a streamed token. The cost of the request itself is constant, so
+/// it doesn't affect the slope.
 async fn streamed_tokens() -> Vec<Slope> {
     let fleet = Fleet::start(quiet()).await;
     let (entry, sidecar) = (fleet.entries[0].id(), fleet.hosts[0].sidecar.id());
@@ -309,7 +309,7 @@
     for tokens in [100_u64, 200, 400, 800] {
         let before = (ProcessUsage::of(entry), ProcessUsage::of(sidecar));
         for _ in 0..STREAMS {
-            let answer = send(caller.chat("m", "x", tokens, true)).await.expect("an answer");
+            let answer = send(caller.chat("m", "x", tokens, true)).await.expect("a response");
             assert!(answer.body.contains("[DONE]"));
         }
         let after = (ProcessUsage::of(entry), ProcessUsage::of(sidecar));
@@ -323,7 +323,7 @@
     ]
 }
 
-/// Sizes of messages, encoded with their length prefix.
+/// Encoded sizes of messages, with their length prefix.
 fn message_sizes() -> Report {
     let mut report = Report::new("message-sizes", &["message", "bytes"]);
     let size = |body: Body| Frame { body: Some(body) }.encoded_len() + 4;
--- a/benches/cascade.rs
+++ b/benches/cascade.rs
@@ -1,8 +1,8 @@
 //! The cascade against baselines: `cargo bench --bench cascade`.
 //!
-//! Two models, the better ten times as dear. Half-way the cheap one's quality shifts.
-//! Plans come from the entry's own learner; ratings of direct answers are a sample and
-//! come late. Quality is the true share of good answers that callers got.
+//! Simulates two models, of which the better one costs ten times as much. Halfway through, the quality of
+//! the cheap one changes. Plans come from the entry's own `policy::cascade`; only a sample of direct
+//! responses is rated, with a delay. Quality is the true share of good responses that callers received.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 const SEEDS: [u64; 5] = [11, 22, 33, 44, 55];
 const REQUESTS: usize = 20_000;
 const SAMPLE_RATIO: f64 = 0.05;
-/// Ratings of direct answers come so many requests late.
+/// Delay of ratings of direct responses, in requests.
 const RATING_DELAY_REQUESTS: usize = 50;
 const CHEAP_COST: f64 = 1_000.0;
 const BEST_COST: f64 = 10_000.0;
@@ -37,7 +37,7 @@
     best: f64,
     target: f64,
     deadline: Duration,
-    /// The part of the run, from its beginning, after which the rater is away.
+    /// Fraction of the run after which the rating service is unavailable.
     rater_available_until: f64,
 }
 
@@ -89,9 +89,10 @@
     Learnt,
     AlwaysBest,
     AlwaysCheap,
-    /// The part of direct cheap answers with which the target is just met over the run.
+    /// Sends directly to the cheap model the largest fraction of requests with which the whole run still
+    /// meets the target.
     BestSplit,
-    /// The cheapest static plan of each half that meets the target, known beforehand.
+    /// Uses in each half the cheapest static plan that meets the target, from the true qualities.
     Hindsight,
 }
 
@@ -134,7 +135,7 @@
         (request as f64) < self.scenario.rater_available_until * REQUESTS as f64
     }
 
-    /// Whether the answer is good; what was learnt from it is taken in.
+    /// Runs a request, and records its cost and duration. Returns whether the response is good.
     fn run_request(&mut self, request: usize, is_cheap: bool) -> bool {
         let quality = if is_cheap { self.cheap_quality(request) } else { self.scenario.best };
         let (model, cost, time) = if is_cheap {
@@ -209,7 +210,7 @@
             match &plan {
                 Plan::Direct(model) => self.sample(request, model.clone(), is_good),
                 Plan::Cascade(first, second) => {
-                    // The judge's word is learnt at once.
+                    // In a cascade the rating is available immediately.
                     self.learner.rated(first, is_good);
                     if !is_good {
                         is_good = self.run_request(request, false);
--- a/benches/cold.rs
+++ b/benches/cold.rs
@@ -1,9 +1,9 @@
-//! Upstreams that come back cold, in virtual time: `cargo bench --bench cold`.
+//! Upstreams that warm up after a restart, in virtual time: `cargo bench --bench cold`.
 //!
-//! Entries get requests, of which each goes to a cold upstream if the entry may send it one: it has
-//! nothing to do and looks best. Entries judge by the gateway's own `policy::cold`, hear of the
-//! return and of each other late, and send what is held up on its way. Beside it: nothing is bounded
-//! (as before), requests are divided among a few entries, and one that knows all that was sent.
+//! Gateways send each request to an upstream that warms up if they may: it is idle and therefore
+//! preferred. They decide with the gateway's own `policy::cold`, learn of the restart and of each other
+//! with a delay, and some requests are delayed in transit. Baselines: no bound, a share of the bound for
+//! only a few gateways, and an oracle that knows every request sent.
 
 #[path = "support/cold_world.rs"]
 mod cold_world;
@@ -19,7 +19,7 @@
 use crate::cold_world::Strategy;
 use crate::cold_world::run;
 
-/// Of each setting and way; fewer where each of many entries has to know all others.
+/// Number of seeds of a setting; fewer for many gateways, as the cost of a run is quadratic in their number.
 fn seeds(setting: &Setting) -> u64 {
     match setting.entries {
         0..=103 => 1_000,
@@ -28,7 +28,6 @@
     }
 }
 
-/// Plays all seeds.
 fn run_seeds(setting: &Setting, strategy: Strategy) -> Vec<RunResult> {
     seeded_runs::run_seeds(seeds(setting), |seed| run(setting, strategy, seed))
 }
--- a/benches/coordination.rs
+++ b/benches/coordination.rs
@@ -1,8 +1,9 @@
-//! What agreeing and keeping costs: `cargo bench --bench coordination`.
+//! Cost of coordination and durable records: `cargo bench --bench coordination`.
 //!
-//! Real processes, release build, two entries and four upstream hosts in three zones.
-//! Edits until they are in force, the ledger against what ran under random kills, what
-//! a claim costs, what an outage refuses, and how soon a leaving upstream is left alone.
+//! Runs real processes in a release build: two entries and four upstream hosts in three availability
+//! zones. Measures the time until an edit is active everywhere, the ledger against the executed requests
+//! while processes are killed at random, the latency of a claim, the requests that are refused during an
+//! outage of the store, and the time until a draining upstream receives no more requests.
 
 #[allow(dead_code, unused_imports)]
 #[path = "../tests/all/harness/mod.rs"]
@@ -48,7 +49,8 @@
     Faults { outage: true, ..Faults::default() }
 }
 
-/// Milliseconds from an edit's acceptance until each process has it.
+/// Milliseconds from an edit's acceptance until it is active in each process. With `has_outage`, the
+/// platform's store is unavailable from the acceptance on.
 async fn edit_times(fleet: &Fleet, has_outage: bool) -> Vec<f64> {
     let mut times = Vec::new();
     let addr = fleet.entries[0].addr("operators_addr");
@@ -88,12 +90,12 @@
     report.finish();
 }
 
-/// One caller's requests; the identities of those that completed.
+/// Sends one caller's requests. Returns the ids of those that completed.
 async fn run_caller(callers: Vec<Caller>, count: usize, first: usize) -> Vec<String> {
     let mut completed = Vec::new();
     for number in 0..count {
         let caller = &callers[(first + number) % callers.len()];
-        // An entry that was killed does not answer; its caller goes to the other one.
+        // An entry that was killed does not respond; the next request goes to the other one.
         let Some(answer) = send(caller.chat("m", "x", 4, false)).await else {
             continue;
         };
@@ -117,8 +119,8 @@
     for kill in 0..KILLS {
         tokio::time::sleep(Duration::from_millis(rng.random_range(50..250))).await;
         if kill == KILLS / 2 {
-            // Three hold each record: a fourth failure comes once the sidecars have handed
-            // over what the entry leaves behind.
+            // Three processes hold each record. The next kill waits until the sidecars have handed over the
+            // records of the killed entry, so that no record loses all its holders.
             fleet.entries[1].kill();
             entry_kills += 1;
             tokio::time::sleep(Duration::from_secs(3)).await;
@@ -131,7 +133,7 @@
     }
     let completed: BTreeSet<String> =
         join_all(tasks).await.into_iter().flat_map(|task| task.expect("no panic")).collect();
-    harness::wait_until("all is settled", || async {
+    harness::wait_until("all bills are settled", || async {
         for host in 0..fleet.hosts.len() {
             if fleet.sidecar_state(host).await["unsettled_bills"] != 0 {
                 return false;
@@ -178,7 +180,7 @@
         for number in 0..CLAIMS {
             let key = if has_key { format!("key-{number}") } else { String::new() };
             let began = Instant::now();
-            let answer = send(caller.call("ledger", "fund", &key, "x")).await.expect("an answer");
+            let answer = send(caller.call("ledger", "fund", &key, "x")).await.expect("a response");
             assert_eq!(answer.outcome, "completed");
             times.push(began.elapsed().as_secs_f64() * 1_000.0);
         }
@@ -193,9 +195,9 @@
     let (mut keyed, mut others) = (0, 0);
     for number in 0..100 {
         let key = format!("outage-{number}");
-        let claimed = send(caller.call("ledger", "fund", &key, "x")).await.expect("an answer");
+        let claimed = send(caller.call("ledger", "fund", &key, "x")).await.expect("a response");
         keyed += usize::from(claimed.outcome == "not-run");
-        let chat = send(caller.chat("m", "x", 4, false)).await.expect("an answer");
+        let chat = send(caller.chat("m", "x", 4, false)).await.expect("a response");
         others += usize::from(chat.outcome == "not-run");
     }
     let mut report = Report::new("outage", &["requests", "refused of 100"]);
@@ -219,7 +221,7 @@
         let before = fleet.platform.counts();
         let began = Instant::now();
         for _ in 0..requests {
-            send(fleet.caller(0).chat("m", "x", 4, false)).await.expect("an answer");
+            send(fleet.caller(0).chat("m", "x", 4, false)).await.expect("a response");
         }
         tokio::time::sleep(Duration::from_secs(10).saturating_sub(began.elapsed())).await;
         let after = fleet.platform.counts();
--- a/benches/ends.rs
+++ b/benches/ends.rs
@@ -1,11 +1,11 @@
-//! Requests that end upstreams, in virtual time: `cargo bench --bench ends`.
+//! Fatal requests, which crash upstreams, in virtual time: `cargo bench --bench ends`.
 //!
-//! Callers send some bodies again and again, in turn at all entries; each ends the upstream that runs
-//! it, and all streams that run there break off. Entries judge by the gateway's own
-//! `policy::fatal`, hear of each other late, and share a store that counts tries. Beside it: nothing is
-//! kept (as before); each entry by itself; workspaces in place of requests; and one that knows a body after its
-//! first end. Some ends show only later; then an answer that broke off there is forgotten, remembered by
-//! its entry, or remembered until any entry learns of the end.
+//! Callers send some bodies again and again, through random gateways; each crashes the upstream that runs
+//! it and breaks all streams there. Gateways decide with the gateway's own `policy::fatal`, receive crashes
+//! from peers with a delay, and claim trials through a shared store. Baselines: no quarantine, each gateway
+//! by itself, quarantine by workspace, and an oracle that knows a body from its first crash. Some crashes
+//! are detected late; a stream that broke there is then not counted, counted once its own gateway detects
+//! the crash, or counted once any gateway does.
 
 #[path = "support/ends_setting.rs"]
 mod ends_setting;
@@ -106,7 +106,8 @@
     fingerprints();
 }
 
-/// What it costs to tell whether two requests are the same: the quickest of many runs, real time.
+/// Cost of a request's fingerprint, in real time: the minimum of many runs, which excludes interruptions by
+/// other processes.
 fn fingerprints() {
     const RUNS: usize = 200;
     let mut report = Report::new("ends_fingerprint", &["body, bytes", "us"]);
--- a/benches/guard.rs
+++ b/benches/guard.rs
@@ -1,7 +1,7 @@
 //! The guard against bad versions, in virtual time: `cargo bench --bench guard`.
 //!
-//! Answers of a version come from several upstreams; evidence reaches the guard in
-//! reports, a second late. The guard is the entry's own.
+//! Responses of a version come from several upstreams; their counts reach the guard in reports, one second
+//! late. The guard is the entry's own `policy::guard`.
 
 use rand::Rng;
 use rand::RngExt;
@@ -21,21 +21,21 @@
 const HEALTHY_ROLLOUTS: u64 = 2_000;
 const HEALTHY_RESPONSES: u64 = 10_000;
 const UPSTREAMS: usize = 6;
-/// The fleet's requests of this model in one report's time.
+/// Requests of this model in the whole fleet between two reports.
 const REQUESTS_PER_REPORT: u64 = 50;
 const BASELINE_BAD_RATE: f64 = 0.02;
 
-/// What is wrong with the new version.
+/// Fault of the new version.
 #[derive(Debug, Clone, Copy)]
 struct Fault {
     name: &'static str,
-    /// Failures besides the usual ones.
+    /// Failure rate in addition to the baseline.
     added_failure_rate: f64,
-    /// Poor ratings besides the usual ones; a twentieth of answers is rated.
+    /// Rate of poor ratings in addition to the baseline; a twentieth of responses is rated.
     added_poor_rate: f64,
-    /// Upstreams it shows on.
+    /// Number of upstreams with the fault.
     upstreams: usize,
-    /// Answers after which it begins.
+    /// Number of responses after which the fault begins.
     begins_after: u64,
     /// The new version's share by the operators' weights.
     share: f64,
@@ -50,7 +50,7 @@
     rng: StdRng,
 }
 
-/// What one roll-out gave.
+/// Result of one rollout.
 #[derive(Debug, Default, Clone, Copy)]
 struct RolloutResult {
     is_held: bool,
@@ -79,8 +79,7 @@
         world
     }
 
-    /// One answer of version 0 or 1 on a random upstream; the upstream and whether it
-    /// was bad.
+    /// Records a response of version 0 or 1 on a random upstream. Returns whether it was bad.
     fn answer(&mut self, version: usize, failure_rate: f64, poor_rate: f64) -> bool {
         let upstream = self.rng.random_range(0..UPSTREAMS);
         self.respond_at(upstream, version, failure_rate, poor_rate)
@@ -117,12 +116,12 @@
     }
 }
 
-/// Until the hold, or `most` requests of the model.
+/// Simulates a rollout until the version is held, or for `max_requests` requests of the model.
 fn run_rollout(seed: u64, fault: Fault, max_requests: u64, is_ramped: bool) -> RolloutResult {
     let mut world = World::new(seed, true);
     let (mut outcome, mut requests) = (RolloutResult::default(), 0.0);
     if !is_ramped {
-        // It has served well for long.
+        // The version has served without faults for a long time.
         for _ in 0..2_000 {
             world.answer(1, BASELINE_BAD_RATE, BASELINE_BAD_RATE);
         }
@@ -151,7 +150,7 @@
             );
             outcome.bad_responses += f64::from(is_bad && is_on);
         }
-        // Reports come late: the answers above were given before this is known.
+        // Reports are late: the guard has no effect on the responses above.
         world.report();
         outcome.is_held = world.guard.is_held(&world.new);
     }
@@ -159,7 +158,7 @@
     outcome
 }
 
-/// Whether a healthy version is ever held over its answers.
+/// Returns whether a healthy version is ever held.
 fn has_false_hold(seed: u64) -> bool {
     let mut world = World::new(1_000_000 + seed, true);
     for _ in 0..HEALTHY_RESPONSES / REQUESTS_PER_REPORT {
@@ -175,7 +174,7 @@
     false
 }
 
-/// The baseline: a fixed threshold on the last hundred answers.
+/// Rate of false holds of the baseline, a fixed threshold on the last hundred responses.
 fn threshold_false_holds() -> f64 {
     let held = (0..HEALTHY_ROLLOUTS).filter(|seed| {
         let mut rng = StdRng::seed_from_u64(*seed);
--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -1,9 +1,8 @@
-//! Upstreams that name a limit, in virtual time: `cargo bench --bench limits`.
+//! Upstreams that report a rate limit, in virtual time: `cargo bench --bench limits`.
 //!
-//! Entries get requests, of which each goes to a limited upstream if the entry may send it one. Entries
-//! judge by the gateway's own `policy::named_limits`, and hear of the limit up to half a second late.
-//! Beside it: each entry keeps to the whole limit by itself, each has the whole of it in its turn, and
-//! one that knows all that was sent.
+//! Gateways send each request to a limited upstream if they may. They decide with the gateway's own
+//! `policy::named_limits`, and learn of the limit up to half a second late. Baselines: each gateway applies
+//! the whole limit by itself, gateways use the whole limit in turn, and an oracle knows every request sent.
 
 #[path = "support/limits_world.rs"]
 mod limits_world;
@@ -21,7 +20,7 @@
 const STRATEGIES: [Strategy; 4] =
     [Strategy::Alone, Strategy::Parts, Strategy::Turns, Strategy::Oracle];
 
-/// Of each setting and way; fewer where each of many entries has to know all others.
+/// Number of seeds of a setting; fewer for many gateways, as the cost of a run is quadratic in their number.
 fn seeds(setting: &Setting) -> u64 {
     match setting.entries {
         0..=103 => 200,
@@ -30,7 +29,6 @@
     }
 }
 
-/// Plays all seeds.
 fn run_seeds(setting: &Setting, strategy: Strategy) -> Vec<RunResult> {
     seeded_runs::run_seeds(seeds(setting), |seed| run(setting, strategy, seed))
 }
--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -1,8 +1,8 @@
-//! What the path adds to the engine, what one entry carries, and what memory stays:
+//! Latency that the proxy path adds, throughput of one entry, and memory over a long run:
 //! `cargo bench --bench overhead`.
 //!
-//! Real processes, release build. The engine answers as fast as it can. Direct and
-//! routed requests alternate in one run, so that the machine's noise falls on both.
+//! Runs real processes in a release build. The engine responds as fast as it can. Direct and routed
+//! requests alternate in one run, so that noise of the machine affects both.
 
 #[allow(dead_code, unused_imports)]
 #[path = "../tests/all/harness/mod.rs"]
@@ -27,7 +27,7 @@
 const LONG_RUN: usize = 100_000;
 const LONG_RUN_CALLERS: usize = 64;
 
-/// Three engines, polls and flushes as often as with default settings.
+/// Three engines; polls and flushes are as frequent as with default settings.
 fn plan() -> Plan {
     let quiet = quiet();
     let default_intervals = vec![
@@ -52,13 +52,13 @@
 
 async fn measure_ms(request: RequestBuilder) -> f64 {
     let began = Instant::now();
-    let response = request.send().await.expect("an answer");
+    let response = request.send().await.expect("a response");
     assert_eq!(response.status().as_u16(), 200);
-    response.bytes().await.expect("a whole answer");
+    response.bytes().await.expect("a complete body");
     began.elapsed().as_secs_f64() * 1_000.0
 }
 
-/// Milliseconds of direct and of routed requests, with so many callers at once.
+/// Latencies of direct and of routed requests in milliseconds, with `callers` concurrent callers.
 async fn compare(fleet: &Fleet, callers: usize) -> (Vec<f64>, Vec<f64>) {
     let http = reqwest::Client::builder().no_proxy().build().expect("a client can be made");
     let url = fleet.engines[0].url();
@@ -68,7 +68,7 @@
         for round in 0..ROUNDS / callers + 20 {
             let plain = measure_ms(direct(&http, &url)).await;
             let routed = measure_ms(caller.chat("m", "hello", 4, false)).await;
-            // The first few open connections.
+            // The first rounds open connections and are not counted.
             if round >= 20 {
                 direct_ms.push(plain);
                 routed_ms.push(routed);
@@ -129,7 +129,7 @@
         record_memory(LONG_RUN / segments * part);
     }
     let took = began.elapsed();
-    // The ledger and the sweeps come to rest.
+    // Lets the ledger's writes and the periodic sweeps finish.
     tokio::time::sleep(Duration::from_secs(8)).await;
     record_memory(LONG_RUN);
     memory.finish();
--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -1,8 +1,8 @@
 //! Placement against baselines, in virtual time: `cargo bench --bench placement`.
 //!
-//! All policies place the same requests on the same fake engines; what differs is what
-//! they know. Refusals are off (the first token may take a minute), so that the times
-//! compare. The figure is the 95th percentile of the time to the first token.
+//! All policies place the same requests on the same fake engines; they differ in the state that they know.
+//! The target for the first token is too long for any refusal, so that all policies serve all requests. The
+//! reported figure is the 95th percentile of the time to the first token.
 
 #[path = "support/own_knowledge.rs"]
 mod own_knowledge;
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Policy {
     Probing,
-    /// The gateway's choice, without probes.
+    /// The gateway's choice from local state, without probes.
     OwnKnowledge,
     RoundRobin,
     LeastInFlight,
@@ -129,7 +129,7 @@
     Freeze(bool),
 }
 
-/// What one run of one policy gave.
+/// Result of one run of one policy.
 #[derive(Debug, Default)]
 struct RunResult {
     p95_s: f64,
@@ -145,7 +145,7 @@
     in_flight: Vec<Vec<usize>>,
     round_robin_next: Vec<usize>,
     knowledge: Vec<OwnKnowledge>,
-    /// By request: the entry, the upstream, and the work that it was reckoned to be.
+    /// By request: the entry, the upstream, and the expected prefill work.
     sent_by: HashMap<usize, (usize, usize, PrefillWork)>,
     probes: usize,
     rng: StdRng,
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Chooses an upstream, and says what work the request is reckoned to be there.
+    /// Chooses an upstream. Returns it with the prefill work that the request is expected to cause there.
     fn place(
         &mut self,
         now: MonoTime,
@@ -216,7 +216,8 @@
         }
     }
 
-    /// The code that the entry runs, with the probes answered by the real controllers.
+    /// Uses the entry's own choice of hosts and candidates; the upstreams' admission controllers answer the
+    /// probes.
     fn probe(&mut self, now: MonoTime, request: &FakeRequest) -> usize {
         let plan = ProbePlan {
             probes: PROBES,
@@ -228,7 +229,7 @@
         let mut candidates = Vec::new();
         for host in &probed {
             let at = self.hosts.iter().position(|h| h == host).unwrap_or_default();
-            // A frozen one does not answer within the time.
+            // A suspended engine does not reply before the timeout.
             if self.upstreams[at].is_frozen {
                 continue;
             }
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Knows the true state of everybody, at no cost.
+    /// Chooses from the true state of all upstreams, at no cost.
     fn oracle_choice(&mut self, now: MonoTime, request: &FakeRequest) -> usize {
         let cost = |(at, upstream): (usize, &FakeUpstream)| {
             if upstream.is_frozen {
--- a/benches/retries.rs
+++ b/benches/retries.rs
@@ -1,7 +1,7 @@
 //! Retries and ejection in virtual time: `cargo bench --bench retries`.
 //!
-//! Three entries with the daemons' own budget, decision and ejection send to twenty
-//! upstreams, chosen at random among the usable ones. All requests may be repeated.
+//! Three entries send to twenty upstreams, chosen at random among the usable ones, with the entry's own
+//! retry budget, retry decision and ejection (`policy::retry`). All requests are repeatable.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 const REQUESTS: u64 = 60_000;
 const ARRIVAL_INTERVAL: Duration = Duration::from_millis(5);
 const MAX_ATTEMPTS: u32 = 3;
-/// The sick upstream, from and until which request it fails.
+/// The failing upstream, and the range of requests in which it fails.
 const FAILING_UPSTREAM: usize = 7;
 const FAILS_FROM: u64 = 10_000;
 const FAILS_UNTIL: u64 = 40_000;
@@ -38,9 +38,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Policy {
-    /// The entry's.
+    /// The entry's own policy.
     BudgetAndEjection,
-    /// Three attempts for each request, nobody left out.
+    /// Up to three attempts for each request, without ejection.
     AlwaysThree,
 }
 
--- a/benches/rollout.rs
+++ b/benches/rollout.rs
@@ -1,9 +1,9 @@
-//! The judgement of new versions, in virtual time: `cargo bench --bench rollout`.
+//! Detection of bad versions during a rollout, in virtual time: `cargo bench --bench rollout`.
 //!
-//! Engines work on all their requests in one batch. The old version's are busy, the new one's
-//! have 3 in 100 requests; entries see what they serve, and tell each other their counts twice
-//! a second. The evidence is the gateway's own. Besides, the same with no load told to it: what
-//! comparing at unlike loads costs.
+//! Engines batch all their requests, so their token interval grows with the load. The new version gets 3 of
+//! 100 requests, so its engines are less loaded than the old version's. Gateways observe their own responses
+//! and exchange counts twice a second. The evidence is the gateway's own `policy::rollout`. A second series
+//! hides the load from it, to show the errors of a comparison at different loads.
 
 use std::time::Duration;
 
@@ -20,39 +20,40 @@
 
 const BAD_ROLLOUTS: u64 = 60;
 const GOOD_ROLLOUTS: u64 = 1_000;
-/// Of each version.
+/// Number of engines of each version.
 const ENGINES: usize = 9;
-/// Streams a second of the whole service, and how many more in a burst.
+/// Streams per second of the whole service, and the factor on them in a burst.
 const STREAMS_PER_S: f64 = 60.0;
 const BURST_FACTOR: f64 = 2.5;
-/// The calm time before the order, and how long a version is observed.
+/// Duration of the normal load before the rollout, and of the observation of the new version.
 const CALM_S: f64 = 10.0;
 const OBSERVATION_S: f64 = 21.0;
 const NEW_SHARE: f64 = 0.03;
 const CHUNKS_PER_STREAM: f64 = 50.0;
-/// Of an engine: the pause between parts when it is idle, and what a request adds. With 10
-/// requests in progress that is 30 ms, with 100 in a burst 120, as of the engines that were seen.
+/// Token interval of an idle engine, and the increase for each request in progress. As at real engines, this
+/// gives 30 ms with 10 requests in progress, and 120 ms with 100 in a burst.
 const IDLE_TOKEN_INTERVAL_MS: f64 = 20.0;
 const INTERVAL_MS_PER_REQUEST: f64 = 1.0;
 const UPDATE_INTERVAL_S: f64 = 0.5;
 const TOKEN_INTERVAL: RequestKind =
     RequestKind { route: None, model: None, part: LatencyKind::Pause };
 
-/// What a roll-out meets.
+/// Parameters of a rollout.
 #[derive(Debug, Clone, Copy)]
 struct Setting {
-    /// How many times as long the new version's answers take, and the part of them.
+    /// Factor on the token interval of the new version's slow responses, and the fraction of its responses
+    /// that are slow.
     slowdown: f64,
     part: f64,
-    /// The part of its answers that fail.
+    /// Fraction of the new version's responses that fail.
     failures: f64,
     is_burst: bool,
     entries: usize,
-    /// Half of the entries start anew in the middle.
+    /// Whether half of the gateways restart during the observation.
     has_restarts: bool,
-    /// The part of the old version's engines that are four times as slow.
+    /// Fraction of the old version's responses that are four times as slow.
     slow_old_ratio: f64,
-    /// Whether the evidence is told the loads.
+    /// Whether the evidence receives the engine's load with each response.
     reports_load: bool,
 }
 
@@ -67,7 +68,7 @@
     reports_load: true,
 };
 
-/// An entry, and what it has told of its counts.
+/// A gateway, and the counts that it last sent to its peers.
 struct Entry {
     evidence: RolloutEvidence,
     last_sent: EvidenceTotals,
@@ -80,7 +81,7 @@
     bad_responses: u32,
 }
 
-/// When a version was called worse, and how many of its answers had been bad by then.
+/// When a version was found to be worse, and how many of its responses had been bad by then.
 #[derive(Debug, Clone, Copy)]
 struct RolloutDecision {
     after_s: f64,
@@ -95,7 +96,7 @@
         Self { setting, rng: StdRng::seed_from_u64(seed), entries, bad_responses: 0 }
     }
 
-    /// Plays the calm time and the roll-out, until a verdict.
+    /// Simulates the normal load and the rollout, until a decision.
     fn run(mut self) -> Option<RolloutDecision> {
         let mut now_s = 0.0;
         let mut next_update_s = CALM_S;
@@ -154,7 +155,8 @@
         }
     }
 
-    /// Requests in progress at an engine: the rate times their duration, which grows with them.
+    /// Requests in progress at an engine, by Little's law: the rate times the duration, which in turn grows with
+    /// the load.
     fn load(&mut self, rate: f64) -> u32 {
         let rate_per_engine = rate / ENGINES as f64;
         let mut mean: f64 = 1.0;
@@ -167,7 +169,7 @@
         (mean + spread).round().max(1.0) as u32
     }
 
-    /// Half of the entries lose all that they know, and are told the others' usual times.
+    /// Restarts half of the gateways: they lose their state, and receive the baseline latencies of the others.
     fn restart_half(&mut self) {
         let (lost, kept) = self.entries.split_at_mut(self.setting.entries.div_ceil(2));
         for entry in lost {
--- a/benches/store_return.rs
+++ b/benches/store_return.rs
@@ -1,8 +1,8 @@
-//! A store that comes back from a copy, in real time: `cargo bench --bench store_return`.
+//! A store that is restored from a copy, in real time: `cargo bench --bench store_return`.
 //!
-//! Entries in one process on loopback, a store, a configuration of some 30 KB. Operators write a new
-//! configuration right after the return. Told: when it is in force at all entries, and how many calls the
-//! store had until then and in the next seconds, beside as many seconds at rest.
+//! Runs gateways in one process on loopback, a store, and a configuration of about 30 KB. Operators write a
+//! new configuration right after the restore. Reports when it is active at all gateways, and the calls to
+//! the store until then and over the next seconds, compared with an idle period of the same length.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,11 +20,12 @@
 use stallhoist_users_platform::PlatformDialect;
 use stallhoist_users_platform::PlatformStore;
 
-/// Long enough for what is missing to be given up, and for the whole to be read again.
+/// Long enough for gateways to drop rows that the restored store lacks, and to read it again as a whole.
 const OBSERVATION: Duration = Duration::from_secs(8);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const ROUTES: usize = 150;
-/// More writes than the versions go back.
+/// Writes after the copy. The restore loses them, so the versions of later writes are below those that
+/// gateways have already seen.
 const WRITES: usize = 200;
 
 fn config(version: u64) -> Value {
@@ -47,7 +48,7 @@
     })
 }
 
-/// Entries of one store.
+/// Gateways that share one store.
 struct Fleet {
     store: StoreStandin,
     entries: Vec<Gateway>,
@@ -75,8 +76,8 @@
 
     async fn state(&self, entry: &Gateway) -> Value {
         let url = format!("http://{}/state", entry.operators_addr());
-        let response = self.http.get(url).send().await.expect("the state is told");
-        response.json().await.expect("it is JSON")
+        let response = self.http.get(url).send().await.expect("the state endpoint responds");
+        response.json().await.expect("the state is JSON")
     }
 
     async fn wait_until_all(&self, condition: impl Fn(&Value) -> bool) {
@@ -91,7 +92,7 @@
         self.store.calls().len()
     }
 
-    /// The calls of some seconds.
+    /// Number of store calls during `period`.
     async fn calls_during(&self, period: Duration) -> usize {
         let before = self.calls();
         tokio::time::sleep(period).await;
@@ -102,7 +103,7 @@
 async fn row(report: &mut Report, count: usize) {
     let fleet = Fleet::start(count).await;
     fleet.wait_until_all(|state| state["config_version"] == 1 && state["entries"] == count).await;
-    // The first seconds of a fleet have calls of their own.
+    // Excludes the calls of the fleet's start.
     tokio::time::sleep(2 * OBSERVATION).await;
     let idle_calls = fleet.calls_during(OBSERVATION).await;
     let copy = fleet.store.copy();
--- a/benches/support/limits_world.rs
+++ b/benches/support/limits_world.rs
@@ -187,7 +187,7 @@
             return;
         }
         entry.has_learned = true;
-        let limit = RequestRate::from_per_s(self.setting.limit_per_s).expect("a rate");
+        let limit = RequestRate::from_per_s(self.setting.limit_per_s).expect("a valid rate");
         for start in &self.incarnations {
             entry.limits.record_report(at(now_s), start, at(now_s), NamedLimit::Of(limit));
         }
--- a/benches/support/seeded_runs.rs
+++ b/benches/support/seeded_runs.rs
@@ -25,7 +25,7 @@
     };
     thread::scope(|scope| {
         let threads: Vec<_> = (0..THREADS).map(|n| scope.spawn(worker(n))).collect();
-        threads.into_iter().flat_map(|t| t.join().expect("a run ends")).collect()
+        threads.into_iter().flat_map(|t| t.join().expect("a run does not panic")).collect()
     })
 }
 
@@ -41,7 +41,7 @@
 
 /// Upstream incarnations of a run. Their names depend on the seed too.
 pub(crate) fn incarnations(seed: u64, count: usize) -> Vec<UpstreamIncarnation> {
-    (0..count).map(|n| format!("i-{seed}-{n}").parse().expect("a start")).collect()
+    (0..count).map(|n| format!("i-{seed}-{n}").parse().expect("a valid incarnation")).collect()
 }
 
 /// Relative request rate of a gateway: a third of the gateways gets `skew` times the rate of the others.
