--- a/benches/support/ends_decisions.rs
+++ b/benches/support/ends_decisions.rs
@@ -30,9 +30,10 @@
                 (!is_known).then_some(false)
             }
             Policy::ByWorkspace => {
-                let known = self.ends.iter().filter_map(|ends| ends.get(2)).min();
-                let heard = known.map(|at| at.after(seconds(self.setting.update_delay_s)));
-                let is_held = request.workspace == 0 && heard.is_some_and(|at| self.now >= at);
+                let third_crash = self.ends.iter().filter_map(|ends| ends.get(2)).min();
+                let learned_at =
+                    third_crash.map(|at| at.after(seconds(self.setting.update_delay_s)));
+                let is_held = request.workspace == 0 && learned_at.is_some_and(|at| self.now >= at);
                 (!is_held).then_some(false)
             }
             Policy::Kept | Policy::Alone => {
--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -50,7 +50,7 @@
     /// Chooses the upstream with the lowest expected cost and records the request there. Returns its index and
     /// the prefill work.
     pub(crate) fn send(&mut self, now: MonoTime, request: &FakeRequest) -> (usize, PrefillWork) {
-        let facts = RequestFacts {
+        let request_facts = RequestFacts {
             prompt_tokens: request.prompt_tokens,
             prefill_time: PrefillTime { base_ms: 0.0, ms_per_token: MS_PER_TOKEN },
             body_bytes: 0,
@@ -59,7 +59,7 @@
         let ties: Vec<u64> = self.instances.iter().map(|_| self.rng.random()).collect();
         let cost = |at: usize| {
             let candidate = self.candidate(now, at, &parts);
-            (expected_cost_ms(&self.config, &facts, &candidate), ties[at], at)
+            (expected_cost_ms(&self.config, &request_facts, &candidate), ties[at], at)
         };
         let costs = (0..self.instances.len()).map(cost);
         let best = costs.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
