--- a/benches/store_return.rs
+++ b/benches/store_return.rs
@@ -1,8 +1,8 @@
-//! A store that comes back from a copy, in real time: `cargo bench --bench store_return`.
+//! A store that is restored from a copy, in real time: `cargo bench --bench store_return`.
 //!
-//! Entries in one process on loopback, a store, a configuration of some 30 KB. Operators write a new
-//! configuration right after the return. Told: when it is in force at all entries, and how many calls the
-//! store had until then and in the next seconds, beside as many seconds at rest.
+//! Runs gateways in one process on loopback, a store, and a configuration of about 30 KB. Operators write a
+//! new configuration right after the restore. Reports when it is active at all gateways, and the calls to
+//! the store until then and over the next seconds, compared with an idle period of the same length.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,11 +20,12 @@
 use stallhoist_users_platform::PlatformDialect;
 use stallhoist_users_platform::PlatformStore;
 
-/// Long enough for what is missing to be given up, and for the whole to be read again.
-const WATCHED: Duration = Duration::from_secs(8);
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// Long enough for gateways to drop rows that the restored store lacks, and to read it again as a whole.
+const OBSERVATION: Duration = Duration::from_secs(8);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const ROUTES: usize = 150;
-/// More writes than the versions go back.
+/// Writes after the copy. The restore loses them, so the versions of later writes are below those that
+/// gateways have already seen.
 const WRITES: usize = 200;
 
 fn config(version: u64) -> Value {
@@ -47,7 +48,7 @@
     })
 }
 
-/// Entries of one store.
+/// Gateways that share one store.
 struct Fleet {
     store: StoreStandin,
     entries: Vec<Gateway>,
@@ -75,14 +76,14 @@
 
     async fn state(&self, entry: &Gateway) -> Value {
         let url = format!("http://{}/state", entry.operators_addr());
-        let response = self.http.get(url).send().await.expect("the state is told");
-        response.json().await.expect("it is JSON")
+        let response = self.http.get(url).send().await.expect("the state endpoint responds");
+        response.json().await.expect("the state is JSON")
     }
 
-    async fn all(&self, is_so: impl Fn(&Value) -> bool) {
+    async fn wait_until_all(&self, condition: impl Fn(&Value) -> bool) {
         for entry in &self.entries {
-            while !is_so(&self.state(entry).await) {
-                tokio::time::sleep(LOOK_EVERY).await;
+            while !condition(&self.state(entry).await) {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
@@ -91,40 +92,40 @@
         self.store.calls().len()
     }
 
-    /// The calls of some seconds.
-    async fn calls_while(&self, watched: Duration) -> usize {
+    /// Number of store calls during `period`.
+    async fn calls_during(&self, period: Duration) -> usize {
         let before = self.calls();
-        tokio::time::sleep(watched).await;
+        tokio::time::sleep(period).await;
         self.calls() - before
     }
 }
 
 async fn row(report: &mut Report, count: usize) {
     let fleet = Fleet::start(count).await;
-    fleet.all(|state| state["config_version"] == 1 && state["entries"] == count).await;
-    // The first seconds of a fleet have calls of their own.
-    tokio::time::sleep(2 * WATCHED).await;
-    let at_rest = fleet.calls_while(WATCHED).await;
+    fleet.wait_until_all(|state| state["config_version"] == 1 && state["entries"] == count).await;
+    // Excludes the calls of the fleet's start.
+    tokio::time::sleep(2 * OBSERVATION).await;
+    let idle_calls = fleet.calls_during(OBSERVATION).await;
     let copy = fleet.store.copy();
     for n in 0..WRITES {
         fleet.store.put("op", &format!("other/{n}"), json!({}));
     }
     fleet.store.put("op", "config", config(2));
-    fleet.all(|state| state["config_version"] == 2).await;
+    fleet.wait_until_all(|state| state["config_version"] == 2).await;
     let before = fleet.calls();
     let began = Instant::now();
     fleet.store.restore_from(copy);
     fleet.store.put("op", "config", config(3));
-    fleet.all(|state| state["config_version"] == 3).await;
-    let in_force = began.elapsed();
-    let until_then = fleet.calls() - before;
-    tokio::time::sleep(WATCHED.saturating_sub(began.elapsed())).await;
+    fleet.wait_until_all(|state| state["config_version"] == 3).await;
+    let active_after = began.elapsed();
+    let calls_until_active = fleet.calls() - before;
+    tokio::time::sleep(OBSERVATION.saturating_sub(began.elapsed())).await;
     report.row([
         count.to_string(),
-        format!("{:.2}", in_force.as_secs_f64()),
-        until_then.to_string(),
+        format!("{:.2}", active_after.as_secs_f64()),
+        calls_until_active.to_string(),
         (fleet.calls() - before).to_string(),
-        at_rest.to_string(),
+        idle_calls.to_string(),
     ]);
 }
 
--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -1,4 +1,4 @@
-//! The choice that a gateway makes: from what one entry knows itself.
+//! The gateway's choice of an upstream, from the state that one entry has locally.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -17,24 +17,24 @@
 use stallhoist_policy::balance::UpstreamLoad;
 use stallhoist_policy::balance::expected_cost_ms;
 
-/// The fake engines take in a prompt token in 100 us.
+/// Prefill time of the fake engines: 100 us for each prompt token.
 const MS_PER_TOKEN: f64 = 0.1;
 const BLOCK_TOKENS: u64 = 64;
 const SLOTS: u32 = 256;
 
-/// What one entry knows.
+/// Local state of one entry: load and prompt caches of the upstreams, from its own requests.
 pub(crate) struct OwnKnowledge {
     config: BalanceConfig,
     model: ModelName,
     instances: Vec<UpstreamIncarnation>,
     load: UpstreamLoad,
     prefixes: PrefixCaches,
-    /// Breaks ties, as the gateway does by a hash of the request.
+    /// Breaks ties; the gateway uses a hash of the request instead.
     rng: StdRng,
 }
 
 impl OwnKnowledge {
-    /// Of so many upstreams nothing is known yet.
+    /// State in which nothing is known of the upstreams.
     pub(crate) fn new(upstreams: usize, seed: u64) -> Self {
         let instance = |n| format!("instance-{n}").parse().expect("a name");
         Self {
@@ -47,9 +47,10 @@
         }
     }
 
-    /// Chooses the upstream that is expected to cost least, and sends the request there.
+    /// Chooses the upstream with the lowest expected cost and records the request there. Returns its index and
+    /// the prefill work.
     pub(crate) fn send(&mut self, now: MonoTime, request: &FakeRequest) -> (usize, PrefillWork) {
-        let facts = RequestFacts {
+        let request_facts = RequestFacts {
             prompt_tokens: request.prompt_tokens,
             prefill_time: PrefillTime { base_ms: 0.0, ms_per_token: MS_PER_TOKEN },
             body_bytes: 0,
@@ -58,27 +59,27 @@
         let ties: Vec<u64> = self.instances.iter().map(|_| self.rng.random()).collect();
         let cost = |at: usize| {
             let candidate = self.candidate(now, at, &parts);
-            (expected_cost_ms(&self.config, &facts, &candidate), ties[at], at)
+            (expected_cost_ms(&self.config, &request_facts, &candidate), ties[at], at)
         };
         let costs = (0..self.instances.len()).map(cost);
         let best = costs.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let best = best.map_or(0, |(.., at)| at);
         let instance = &self.instances[best];
-        let read = self.prefixes.cached_tokens(now, instance, &self.model, &parts);
-        let unread = request.prompt_tokens.saturating_sub(read);
-        let work = PrefillWork { remaining_prefill_ms: unread as f64 * MS_PER_TOKEN };
+        let cached_tokens = self.prefixes.cached_tokens(now, instance, &self.model, &parts);
+        let remaining_tokens = request.prompt_tokens.saturating_sub(cached_tokens);
+        let work = PrefillWork { remaining_prefill_ms: remaining_tokens as f64 * MS_PER_TOKEN };
         self.load.request_started(instance, work);
         self.prefixes.record_prefill(now, instance, &self.model, &parts);
         (best, work)
     }
 
-    /// The first token came: the prompt has been read.
+    /// Records the first token: the prefill has finished.
     pub(crate) fn first_token(&mut self, at: usize, work: PrefillWork) {
         self.load.prefill_finished(&self.instances[at], work);
     }
 
-    /// The answer is whole.
-    pub(crate) fn ended(&mut self, at: usize) {
+    /// Records a complete response.
+    pub(crate) fn request_finished(&mut self, at: usize) {
         self.load.request_ended(&self.instances[at], PrefillWork::default());
     }
 
