--- a/crates/standins/src/users_platform/upstream_reply.rs
+++ b/crates/standins/src/users_platform/upstream_reply.rs
@@ -95,7 +95,7 @@
                 self.next += 1;
                 Ok(Some((Frame::data(Bytes::from(format!("id: {number}\nda"))), self)))
             }
-            Some(last) if number > last + 1 => Err(io::Error::other("stream truncated")),
+            Some(last) if number > last + 1 => Err(io::Error::other("torn")),
             _ => {
                 self.next += 1;
                 let event = format!("id: {number}\ndata: event {number}\n\n");
