--- a/tests/all/gateway/members.rs
+++ b/tests/all/gateway/members.rs
@@ -35,6 +35,14 @@
     .await;
 }
 
+async fn wait_until_both_are_leaving(world: &World) {
+    wait_until("both are leaving", async || {
+        let dump = world.dump().await["upstreams"].to_string();
+        !dump.contains("Listed")
+    })
+    .await;
+}
+
 case!(a_draining_upstream_gets_no_new_work, async {
     let world = two().await;
     let entry = world.upstreams[0].entry(PLAIN, "zone-1", "v1", "draining");
@@ -52,11 +60,7 @@
     ask(&world, 10).await;
     assert_eq!(world.upstreams[0].arrivals().len(), 0);
     world.store.remove("servers", "i-1");
-    wait_until("both are leaving", async || {
-        let dump = world.dump().await["upstreams"].to_string();
-        !dump.contains("Listed")
-    })
-    .await;
+    wait_until_both_are_leaving(&world).await;
     ask(&world, 1).await;
 });
 
@@ -64,9 +68,10 @@
     let world = two().await;
     world.store.remove("servers", "i-1");
     world.store.remove("servers", "i-0");
+    wait_until_both_are_leaving(&world).await;
     let upstream = &world.upstreams[0];
     world.store.put("servers", "i-0", upstream.entry(PLAIN, "zone-1", "v1", "ready"));
-    wait_for_upstream(&world, "i-0 plain v1").await;
+    wait_for_upstream(&world, "Listed").await;
     ask(&world, 3).await;
     assert_eq!(world.upstreams[0].runs(), 3);
 });
