--- a/crates/gateway/src/follow/change_log.rs
+++ b/crates/gateway/src/follow/change_log.rs
@@ -42,7 +42,7 @@
             log::info!(zone:% = zone; "availability zone is emptied; no new requests go there");
         }
         Change::ZoneTakenBack(zone) => {
-            log::info!(zone:% = zone; "availability zone is used again");
+            log::info!(zone:% = zone; "availability zone is taken back");
         }
         Change::EntryListed(entry) => {
             log::info!(host:% = entry.host, peers_addr:% = entry.peers_addr; "entry listed");
