--- a/benches/support/ends_decisions.rs
+++ b/benches/support/ends_decisions.rs
@@ -37,7 +37,7 @@
                 (!is_held).then_some(false)
             }
             Policy::Kept | Policy::Alone => {
-                match self.trackers[request.entry].verdict(self.now, request.fingerprint) {
+                match self.trackers[request.entry].disposition(self.now, request.fingerprint) {
                     Disposition::Free => Some(false),
                     Disposition::Suspect => Some(true),
                     Disposition::HeldBack { .. } => request.is_trial.then_some(true),
--- a/benches/support/own_knowledge.rs
+++ b/benches/support/own_knowledge.rs
@@ -1,4 +1,4 @@
-//! The gateway's choice of an upstream, from the state that one entry has locally.
+//! The gateway's choice of an upstream, from the local state of one gateway.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -22,7 +22,7 @@
 const BLOCK_TOKENS: u64 = 64;
 const SLOTS: u32 = 256;
 
-/// Local state of one entry: load and prompt caches of the upstreams, from its own requests.
+/// Local state of one gateway: load and prompt caches of the upstreams, from its own requests.
 pub(crate) struct OwnKnowledge {
     config: BalanceConfig,
     model: ModelName,
--- a/crates/gateway/src/fatal/tracker.rs
+++ b/crates/gateway/src/fatal/tracker.rs
@@ -77,8 +77,8 @@
     }
 
     /// How a request may be handled now.
-    pub(crate) fn verdict(&self, now: MonoTime, request: RequestFingerprint) -> Disposition {
-        self.requests.lock().verdict(now, request)
+    pub(crate) fn disposition(&self, now: MonoTime, request: RequestFingerprint) -> Disposition {
+        self.requests.lock().disposition(now, request)
     }
 
     /// Records the crash of an upstream while it ran a request.
@@ -102,7 +102,7 @@
         incarnation: &UpstreamIncarnation,
     ) {
         self.updates_available.notify_one();
-        if matches!(self.verdict(now, request), Disposition::HeldBack { .. }) {
+        if matches!(self.disposition(now, request), Disposition::HeldBack { .. }) {
             log::warn!(fingerprint:% = request, instance:% = incarnation; "request held back: it ends upstreams");
         }
     }
--- a/crates/gateway/src/request/execution/quarantine.rs
+++ b/crates/gateway/src/request/execution/quarantine.rs
@@ -31,7 +31,7 @@
             return Ok(());
         }
         let request = self.call.fingerprint();
-        let disposition = self.state.fatal.verdict(self.state.now(), request);
+        let disposition = self.state.fatal.disposition(self.state.now(), request);
         match disposition {
             Disposition::Free => return Ok(()),
             Disposition::Suspect => {}
--- a/crates/policy/src/fatal/mod.rs
+++ b/crates/policy/src/fatal/mod.rs
@@ -91,7 +91,7 @@
     }
 
     /// How a request may be handled now.
-    pub fn verdict(&self, now: MonoTime, request: RequestFingerprint) -> Disposition {
+    pub fn disposition(&self, now: MonoTime, request: RequestFingerprint) -> Disposition {
         let Some(record) = self.records.get(&request) else {
             return Disposition::Free;
         };
@@ -289,7 +289,7 @@
         now: MonoTime,
         request: RequestFingerprint,
     ) -> Option<FatalChange> {
-        if self.verdict(now, request) != Disposition::MayTry {
+        if self.disposition(now, request) != Disposition::MayTry {
             return None;
         }
         let record = self.records.get_mut(&request)?;
--- a/tests/all/decisions/fatal.rs
+++ b/tests/all/decisions/fatal.rs
@@ -38,12 +38,12 @@
     requests
 }
 
-fn verdict(requests: &FatalRequests, n: u32) -> Disposition {
-    requests.verdict(at_ms(1), request(n))
+fn disposition(requests: &FatalRequests, n: u32) -> Disposition {
+    requests.disposition(at_ms(1), request(n))
 }
 
 fn is_held(requests: &FatalRequests, n: u32) -> bool {
-    matches!(verdict(requests, n), Disposition::HeldBack { .. })
+    matches!(disposition(requests, n), Disposition::HeldBack { .. })
 }
 
 fn record(tries: u32) -> FatalRecord {
@@ -59,12 +59,12 @@
 
 #[test]
 fn a_request_under_which_nothing_ended_is_free() {
-    assert_eq!(verdict(&FatalRequests::default(), FATAL), Disposition::Free);
+    assert_eq!(disposition(&FatalRequests::default(), FATAL), Disposition::Free);
 }
 
 #[test]
 fn the_third_end_holds_a_request_back() {
-    assert_eq!(verdict(&after(&[(FATAL, 1), (FATAL, 2)]), FATAL), Disposition::Suspect);
+    assert_eq!(disposition(&after(&[(FATAL, 1), (FATAL, 2)]), FATAL), Disposition::Suspect);
     assert!(is_held(&after(&[(FATAL, 1), (FATAL, 2), (FATAL, 3)]), FATAL));
 }
 
@@ -90,7 +90,7 @@
 #[test]
 fn the_same_end_counts_once() {
     let requests = after(&[(FATAL, 1), (FATAL, 1), (FATAL, 1), (FATAL, 2)]);
-    assert_eq!(verdict(&requests, FATAL), Disposition::Suspect);
+    assert_eq!(disposition(&requests, FATAL), Disposition::Suspect);
 }
 
 #[test]
@@ -98,7 +98,7 @@
     let ends = [(FATAL, 1), (BYSTANDER, 1), (FATAL, 2), (BYSTANDER, 2), (FATAL, 3)];
     let requests = after(&ends);
     assert!(is_held(&requests, FATAL));
-    assert_eq!(verdict(&requests, BYSTANDER), Disposition::Suspect);
+    assert_eq!(disposition(&requests, BYSTANDER), Disposition::Suspect);
 }
 
 #[test]
@@ -108,7 +108,7 @@
     let beside = [1, 2, 5].map(|upstream| (BYSTANDER, upstream));
     let requests = after(&[&fatal[..], &other, &beside].concat());
     assert!(is_held(&requests, FATAL) && is_held(&requests, OTHER_FATAL));
-    assert_eq!(verdict(&requests, BYSTANDER), Disposition::Suspect);
+    assert_eq!(disposition(&requests, BYSTANDER), Disposition::Suspect);
 }
 
 // The result must not depend on the order of updates. Here all crashes of the bystander come first.
@@ -120,14 +120,14 @@
         requests.apply_peer_update(at_ms(1), [update(FATAL, upstream, false)]);
     }
     assert!(is_held(&requests, FATAL));
-    assert_eq!(verdict(&requests, BYSTANDER), Disposition::Suspect);
+    assert_eq!(disposition(&requests, BYSTANDER), Disposition::Suspect);
 }
 
 #[test]
 fn a_second_fatal_request_is_held_back_at_its_first_end_of_its_own() {
     let fatal = [1, 2, 3, 4].map(|upstream| (FATAL, upstream));
     let mut requests = after(&[&fatal[..], &[(OTHER_FATAL, 1), (OTHER_FATAL, 2)]].concat());
-    assert_eq!(verdict(&requests, OTHER_FATAL), Disposition::Suspect);
+    assert_eq!(disposition(&requests, OTHER_FATAL), Disposition::Suspect);
     requests.record_crash(at_ms(1), request(OTHER_FATAL), UpstreamKey(5));
     assert!(is_held(&requests, OTHER_FATAL));
 }
@@ -136,12 +136,12 @@
 fn a_whole_answer_clears_a_request() {
     let mut requests = after(&[1, 2, 3].map(|upstream| (BYSTANDER, upstream)));
     assert!(requests.answered(at_ms(1), request(BYSTANDER)));
-    assert_eq!(verdict(&requests, BYSTANDER), Disposition::Free);
+    assert_eq!(disposition(&requests, BYSTANDER), Disposition::Free);
     // Peers still publish the crashes, which are known.
     assert_eq!(requests.apply_peer_update(at_ms(2), [update(BYSTANDER, 3, false)]), 0);
-    assert_eq!(verdict(&requests, BYSTANDER), Disposition::Free);
+    assert_eq!(disposition(&requests, BYSTANDER), Disposition::Free);
     requests.record_crash(at_ms(3), request(BYSTANDER), UpstreamKey(4));
-    assert_eq!(verdict(&requests, BYSTANDER), Disposition::Suspect);
+    assert_eq!(disposition(&requests, BYSTANDER), Disposition::Suspect);
 }
 
 #[test]
@@ -150,7 +150,7 @@
     for upstream in 1..=3 {
         assert_eq!(requests.apply_peer_update(at_ms(1), [update(BYSTANDER, upstream, true)]), 1);
     }
-    assert_eq!(verdict(&requests, BYSTANDER), Disposition::Free);
+    assert_eq!(disposition(&requests, BYSTANDER), Disposition::Free);
 }
 
 // A peer publishes a crash that was cleared long ago to a gateway that has just read the row.
@@ -158,14 +158,14 @@
 fn an_end_that_does_not_count_clears_nothing_that_is_known_by_its_row() {
     let mut requests = stored(0);
     assert_eq!(requests.apply_peer_update(at_ms(1), [update(FATAL, 1, true)]), 1);
-    assert!(matches!(requests.verdict(at_ms(2), request(FATAL)), Disposition::HeldBack { .. }));
+    assert!(matches!(requests.disposition(at_ms(2), request(FATAL)), Disposition::HeldBack { .. }));
 }
 
 #[test]
 fn it_is_tried_again_only_when_the_store_counts_it() {
     let later = at_ms(60_000);
     let mut requests = after(&[1, 2, 3].map(|upstream| (FATAL, upstream)));
-    assert!(matches!(requests.verdict(later, request(FATAL)), Disposition::HeldBack { .. }));
+    assert!(matches!(requests.disposition(later, request(FATAL)), Disposition::HeldBack { .. }));
     assert!(requests.begin_trial(later, request(FATAL)).is_none());
     requests.stored(later, request(FATAL), StoreVersion::of(7), record(0));
     assert!(requests.begin_trial(later, request(FATAL)).is_none(), "it was stored just now");
@@ -189,7 +189,7 @@
     assert!(stored(1).begin_trial(at_ms(5_000), request(FATAL)).is_some());
     let mut requests = stored(2);
     assert!(requests.begin_trial(at_ms(500_000), request(FATAL)).is_none());
-    assert_eq!(verdict(&requests, FATAL), Disposition::HeldBack { due: None });
+    assert_eq!(disposition(&requests, FATAL), Disposition::HeldBack { due: None });
 }
 
 #[test]
@@ -199,7 +199,7 @@
     requests.record_crash(at_ms(5_100), request(FATAL), UpstreamKey(4));
     requests.end_trial(at_ms(5_200), request(FATAL));
     assert_eq!(
-        requests.verdict(at_ms(500_000), request(FATAL)),
+        requests.disposition(at_ms(500_000), request(FATAL)),
         Disposition::HeldBack { due: None }
     );
     let changes = requests.changes(at_ms(5_300), Duration::ZERO);
@@ -216,7 +216,7 @@
     requests.end_trial(at_ms(5_200), request(FATAL));
     requests.stored(at_ms(5_300), request(FATAL), StoreVersion::of(8), record(1));
     assert_eq!(
-        requests.verdict(at_ms(500_000), request(FATAL)),
+        requests.disposition(at_ms(500_000), request(FATAL)),
         Disposition::HeldBack { due: None }
     );
     assert_eq!(requests.changes(at_ms(5_400), Duration::ZERO).len(), 1);
@@ -233,7 +233,7 @@
     assert_eq!(changes[0].1.record, None);
     // A late read of the removed row does not quarantine the request again.
     requests.stored(at_ms(5_300), request(FATAL), StoreVersion::of(8), record(1));
-    assert_eq!(requests.verdict(at_ms(5_301), request(FATAL)), Disposition::Free);
+    assert_eq!(requests.disposition(at_ms(5_301), request(FATAL)), Disposition::Free);
 }
 
 #[test]
@@ -241,7 +241,7 @@
     let mut requests = stored(0);
     assert!(is_held(&requests, FATAL));
     requests.unstored(at_ms(2), request(FATAL));
-    assert_eq!(requests.verdict(at_ms(3), request(FATAL)), Disposition::Free);
+    assert_eq!(requests.disposition(at_ms(3), request(FATAL)), Disposition::Free);
 }
 
 #[test]
@@ -265,15 +265,15 @@
         requests.record_crash(at_ms(u64::from(n)), request(n), UpstreamKey(u64::from(n)));
     }
     assert!(is_held(&requests, FATAL));
-    assert_eq!(verdict(&requests, 100), Disposition::Free);
-    assert_eq!(verdict(&requests, 199), Disposition::Suspect);
+    assert_eq!(disposition(&requests, 100), Disposition::Free);
+    assert_eq!(disposition(&requests, 199), Disposition::Suspect);
 }
 
 #[test]
 fn ends_that_come_rarely_count_for_a_day() {
     let mut requests = after(&[(FATAL, 1)]);
     requests.expire(at_ms(86_399_000));
-    assert_eq!(verdict(&requests, FATAL), Disposition::Suspect);
+    assert_eq!(disposition(&requests, FATAL), Disposition::Suspect);
     requests.expire(at_ms(86_400_000));
     assert!(requests.is_empty());
 }
@@ -312,7 +312,7 @@
             for (n, upstream, is_cleared) in ends {
                 requests.apply_peer_update(at_ms(0), [update(*n, *upstream, *is_cleared)]);
             }
-            (0..6).map(|n| verdict(&requests, n)).collect::<Vec<_>>()
+            (0..6).map(|n| disposition(&requests, n)).collect::<Vec<_>>()
         };
         assert_eq!(apply_all(&ends), apply_all(&shuffled));
     }
@@ -343,7 +343,7 @@
     for upstream in 1..=3 {
         requests.record_broken_stream(at_ms(0), request(FATAL), UpstreamKey(upstream));
     }
-    assert_eq!(verdict(&requests, FATAL), Disposition::Free);
+    assert_eq!(disposition(&requests, FATAL), Disposition::Free);
     for upstream in 1..=3 {
         requests.record_termination(at_ms(after_ms), UpstreamKey(upstream));
     }
@@ -353,14 +353,14 @@
 #[test]
 fn an_end_that_shows_later_counts_as_one_that_shows_at_once() {
     assert!(matches!(
-        broke_then_terminated(5_999).verdict(at_ms(6_000), request(FATAL)),
+        broke_then_terminated(5_999).disposition(at_ms(6_000), request(FATAL)),
         Disposition::HeldBack { .. }
     ));
 }
 
 #[test]
 fn an_end_long_after_an_answer_broke_off_is_another_matter() {
-    assert_eq!(verdict(&broke_then_terminated(6_000), FATAL), Disposition::Free);
+    assert_eq!(disposition(&broke_then_terminated(6_000), FATAL), Disposition::Free);
 }
 
 #[test]
